--- a/bench/endpoint_model.cpp
+++ b/bench/endpoint_model.cpp
@@ -34,12 +34,12 @@
     }
     if (model.limit_per_s > 0 && window.served + 1 > model.limit_per_s) {
         ++counts.turned_away;
-        return {Outcome::TurnedAway, kRoundTrip, LoadReport{0.0, model.limit_per_s}};
+        return {Outcome::Rejected, kRoundTrip, LoadReport{0.0, model.limit_per_s}};
     }
     ++window.served;
-    if (model.service_time >= time_out) return {Outcome::NoAnswer, time_out, std::nullopt};
+    if (model.service_time >= time_out) return {Outcome::TimedOut, time_out, std::nullopt};
     ++counts.served;
-    Reply reply{Outcome::Served, model.service_time, std::nullopt};
+    Reply reply{Outcome::Delivered, model.service_time, std::nullopt};
     if (model.limit_per_s > 0)
         reply.report = LoadReport{1.0 - window.served / model.limit_per_s, model.limit_per_s};
     return reply;
@@ -52,8 +52,8 @@
 }
 
 Reply EndpointFarm::down_reply(const EndpointModel& model, Time time_out) const {
-    if (model.down_mode == DownMode::Silent) return {Outcome::NoAnswer, time_out, std::nullopt};
-    return {Outcome::NoConnection, kRoundTrip, std::nullopt};
+    if (model.down_mode == DownMode::Silent) return {Outcome::TimedOut, time_out, std::nullopt};
+    return {Outcome::ConnectFailed, kRoundTrip, std::nullopt};
 }
 
 }  // namespace cometspoke::bench
--- a/bench/endpoint_model.hpp
+++ b/bench/endpoint_model.hpp
@@ -30,7 +30,7 @@
 
 /// How a call will end.
 struct Reply {
-    Outcome outcome = Outcome::Served;
+    Outcome outcome = Outcome::Delivered;
     Time after{0};  ///< from the start of the call
     std::optional<LoadReport> report;
 };
--- a/bench/hollow_forwarder.cpp
+++ b/bench/hollow_forwarder.cpp
@@ -59,7 +59,7 @@
 void HollowForwarder::add_due(Time now) {
     while (!pending_.empty() && pending_.begin()->first <= now) {
         const PendingOutcome& pending = pending_.begin()->second;
-        if (pending.event.outcome == Outcome::Served) end(pending.event.message, counts_.served);
+        if (pending.event.outcome == Outcome::Delivered) end(pending.event.message, counts_.served);
         batch_.emplace_back(pending.event);
         pending_.erase(pending_.begin());
     }
@@ -87,14 +87,14 @@
     if (attempt == 0) ++counts_.sent;
     ++counts_.attempts;
     if (farm_.is_down(send.endpoint, now)) ++counts_.attempts_to_down;
-    const Reply reply = farm_.call(send.endpoint, now, send.time_out);
+    const Reply reply = farm_.call(send.endpoint, now, send.timeout);
     PendingOutcome pending;
     pending.begun = now;
     pending.event.message = send.message;
     pending.event.endpoint = send.endpoint;
     pending.event.attempt = attempt;
     pending.event.outcome = reply.outcome;
-    pending.event.terminal = reply.outcome == Outcome::Served;
+    pending.event.terminal = reply.outcome == Outcome::Delivered;
     pending.event.rtt = reply.after;
     pending.event.report = reply.report;
     pending_.emplace(now + reply.after, pending);
@@ -107,7 +107,7 @@
     if (found == pending_.end()) return;
     PendingOutcome pending = found->second;
     pending_.erase(found);
-    pending.event.outcome = Outcome::CalledOff;
+    pending.event.outcome = Outcome::Cancelled;
     pending.event.terminal = false;
     pending.event.rtt = now - pending.begun;
     pending.event.report.reset();
--- a/bench/hollow_forwarder.hpp
+++ b/bench/hollow_forwarder.hpp
@@ -40,7 +40,7 @@
     TurnCosts& operator+=(const TurnCosts& other);
 };
 
-/// Not modelled: Probe, CloseIdle, TellPeers, Watch, FetchList, Log and Forget are passed over.
+/// Not modelled: Probe, CloseIdle, SendToPeers, Watch, FetchList, Log and ReleaseEndpoint are passed over.
 class HollowForwarder {
 public:
     /// The farm must outlive the forwarder.
--- a/bench/journal_bench.cpp
+++ b/bench/journal_bench.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t kAmpleRoom = std::size_t(16) << 30;  // bytes; no call is refused or compacts for room
 constexpr std::size_t kBodyBytes = 200;                    // of a message, as in the protocol's example
 constexpr MessageId kFirstMessage = 0x7f3a'9c21'0000'0000;
-const Wall kNow{std::chrono::seconds(1'700'000'000)};
+const PersistentTime kNow{std::chrono::seconds(1'700'000'000)};
 
 class BenchFolder {
 public:
@@ -50,7 +50,7 @@
     message.destination = static_cast<std::int64_t>(number % 310'000);
     message.deadline = kNow + std::chrono::seconds(8);
     message.body = std::string(kBodyBytes, 'b');
-    message.terms.emplace();
+    message.class_settings.emplace();
     return message;
 }
 
@@ -60,7 +60,7 @@
 }
 
 void hold(Journal& journal, std::size_t count) {
-    for (std::size_t number = 0; number < count; ++number) expect_kept(journal.take_on(make_message(number)));
+    for (std::size_t number = 0; number < count; ++number) expect_kept(journal.accept(make_message(number)));
 }
 
 std::size_t heap_bytes() {
@@ -78,13 +78,13 @@
     const MessageId id = kFirstMessage + number;
     switch (step) {
         case Step::TakeOn:
-            expect_kept(journal.take_on(make_message(number)));
+            expect_kept(journal.accept(make_message(number)));
             break;
         case Step::BeginAttempt:
-            expect_kept(journal.begin_attempt(id, "s-5be2a07c", kNow));
+            expect_kept(journal.start_attempt(id, "s-5be2a07c", kNow));
             break;
         case Step::WriteAttempt:
-            expect_kept(journal.write_attempt(id));
+            expect_kept(journal.mark_attempt_written(id));
             break;
         case Step::EndAttempt:
             expect_kept(journal.end_attempt(id, true));
--- a/bench/list_bench.cpp
+++ b/bench/list_bench.cpp
@@ -16,9 +16,9 @@
 #include <string>
 #include <thread>
 
-#include "net/directory.hpp"
+#include "net/endpoint_directory.hpp"
+#include "net/endpoint_list.hpp"
 #include "net/forwarder.hpp"
-#include "net/target_list.hpp"
 
 namespace lockgw {
 namespace {
@@ -67,8 +67,8 @@
         state.counters["json_heap_bytes_an_entry"] =
             static_cast<double>(heap_bytes() - heap_before) / static_cast<double>(targets);
         try {
-            const TargetList list = list_of(body, targets);
-            state.counters["entries"] = static_cast<double>(list.targets.size());
+            const EndpointList list = parse_endpoint_list(body, targets);
+            state.counters["entries"] = static_cast<double>(list.endpoints.size());
         } catch (const std::exception& refused) {
             state.SetLabel(refused.what());
         }
@@ -84,10 +84,10 @@
 /// A whole list told to the directory for the first time, and once more.
 void directory(benchmark::State& state) {
     const auto targets = static_cast<std::size_t>(state.range(0));
-    TargetList list;
+    EndpointList list;
     list.complete = true;
     for (std::size_t number = 0; number < targets; ++number) {
-        Target& target = list.targets.emplace_back();
+        EndpointRecord& target = list.endpoints.emplace_back();
         char name[24];
         std::snprintf(name, sizeof name, "s-%08zx", number);
         target.id = name;
@@ -97,15 +97,15 @@
     for (auto _ : state) {
         malloc_trim(0);
         const std::size_t heap_before = heap_bytes();
-        Directory directory;
+        EndpointDirectory directory;
         const auto begun = Clock::now();
         try {
-            directory.listed(list, begun);
+            directory.apply(list, begun);
             const double first = seconds_since(begun);
             state.counters["heap_bytes_an_entry"] =
                 static_cast<double>(heap_bytes() - heap_before) / static_cast<double>(targets);
             const auto again = Clock::now();
-            directory.listed(list, again);
+            directory.apply(list, again);
             state.counters["first_ms"] = first * 1e3;
             state.counters["repeated_ms"] = seconds_since(again) * 1e3;
         } catch (const std::exception& refused) {
--- a/bench/sender_bench.cpp
+++ b/bench/sender_bench.cpp
@@ -21,13 +21,14 @@
 namespace cometspoke::bench {
 namespace {
 
-constexpr Time kStart{1'000'000};             // of the virtual clock
-constexpr Time kWholeDay{86'400'000'000};     // a told wait or deadline beyond the end of any case
-constexpr Time kSteadySpan{10'000'000};       // virtual time over which steady turns are measured
-constexpr Time kTakeOnSpan{2'000'000};        // in which messages are taken on
-constexpr Time kTidySpan{1'200'000};          // what is no longer listed is tidied away within it
-constexpr std::size_t kSingles = 200;         // repeats of a measurement of one event
-constexpr std::size_t kRoomForMore = 50'000;  // most_held lies above the held messages by this at least
+constexpr Time kStart{1'000'000};          // of the virtual clock
+constexpr Time kWholeDay{86'400'000'000};  // a told wait or deadline beyond the end of any case
+constexpr Time kSteadySpan{10'000'000};    // virtual time over which steady turns are measured
+constexpr Time kTakeOnSpan{2'000'000};     // in which messages are taken on
+constexpr Time kTidySpan{1'200'000};       // what is no longer listed is tidied away within it
+constexpr std::size_t kSingles = 200;      // repeats of a measurement of one event
+constexpr std::size_t kRoomForMore =
+    50'000;  // max_held_messages lies above the held messages by this at least
 constexpr std::size_t kTakenOn = 20'000;
 constexpr std::size_t kTakenOnSmall = 200;
 
@@ -133,7 +134,7 @@
     }
     void close(DestinationId destination) {
         for (const EndpointId endpoint : endpoints_of(options_, static_cast<std::size_t>(destination)))
-            forwarder_.add(WaitTold{endpoint, kWholeDay});
+            forwarder_.add(RetryAfterEvent{endpoint, kWholeDay});
     }
 
     WorkloadOptions options_;
@@ -196,10 +197,10 @@
         Setup setup(options);
         setup.list();
         ListEvent change = make_list(options);
-        change.kind = ListKind::Changes;
+        change.kind = ListUpdateKind::Delta;
         change.entries.resize(std::min(options.destinations, static_cast<std::size_t>(state.range(1))));
         for (ListEntry& entry : change.entries)
-            entry.condition = entry.endpoint % 4 < 2 ? Condition::Gone : Condition::Draining;
+            entry.condition = entry.endpoint % 4 < 2 ? Condition::Removed : Condition::Draining;
         setup.advance(Time(10'000));
         setup.forwarder().forget_costs();
         const WallTime cost = setup.turn_with(change);
@@ -260,7 +261,7 @@
         sender.observe(make_list(options), kStart);
         for (std::size_t i = 0; i < options.destinations; ++i)
             for (const EndpointId endpoint : endpoints_of(options, i))
-                sender.observe(WaitTold{endpoint, kWholeDay}, kStart);
+                sender.observe(RetryAfterEvent{endpoint, kWholeDay}, kStart);
         sender.decide(kStart);
         const std::size_t before = heap_in_use();
         for (std::size_t i = 0; i < held; ++i)
--- a/bench/workload.cpp
+++ b/bench/workload.cpp
@@ -23,23 +23,23 @@
 
 Settings make_settings(const WorkloadOptions& options) {
     ClassSettings retryable;
-    retryable.aim = Time(2'000'000);
+    retryable.target_latency = Time(2'000'000);
     retryable.deadline = kUsualDeadline;
     Settings settings;
     settings.classes = {retryable};
     settings.kinds.resize(1);
-    settings.n_instances = options.forwarders;
-    settings.slots = 64;
-    settings.most_held = options.most_held;
+    settings.instance_count = options.forwarders;
+    settings.max_calls = 64;
+    settings.max_held_messages = options.most_held;
     settings.max_attempts = 8;
-    settings.cancel = true;
+    settings.can_cancel = true;
     settings.listed_rates = options.listed_rates;
-    settings.conn_idle = Time(10'000'000);
-    settings.fall = Time(2'000'000);
-    settings.warm_within = Time(10'000'000);
-    settings.settle_after_doubt = Time(300'000);
-    settings.fall_multiple = 2.0;
-    settings.cold_from = 0.2;
+    settings.connection_idle_limit = Time(10'000'000);
+    settings.overload_window = Time(2'000'000);
+    settings.warm_up_time = Time(10'000'000);
+    settings.ambiguous_settle_time = Time(300'000);
+    settings.overload_multiple = 2.0;
+    settings.cold_capacity_share = 0.2;
     return settings;
 }
 
@@ -57,7 +57,7 @@
             ListEntry entry;
             entry.endpoint = endpoint;
             entry.destination = static_cast<DestinationId>(destination);
-            entry.rate = options.listed_rates ? kListedRate : 0.0;
+            entry.agreed_rate_per_s = options.listed_rates ? kListedRate : 0.0;
             list.entries.push_back(entry);
         }
     return list;
@@ -94,7 +94,7 @@
     MessageEvent event;
     event.message = message;
     event.destination = destination;
-    event.left = left;
+    event.time_left = left;
     return event;
 }
 
--- a/include/cometspoke/sender.hpp
+++ b/include/cometspoke/sender.hpp
@@ -25,20 +25,20 @@
 using DestinationId = std::int64_t;
 
 /// What a repeat of a message may do: nothing bad, nothing within a window, or take effect twice.
-enum class Effect { Retryable, Dedup, Fragile };
-/// Which endpoints of a destination drop a repeat of a Dedup message.
+enum class DeliverySemantics { Retryable, Deduplicated, AtMostOnce };
+/// Which endpoints of a destination drop a repeat of a Deduplicated message.
 enum class DedupScope { All, Zone, Endpoint };
-/// How worth falls after the aim: evenly to late_worth at the deadline, or by half with each further aim.
-enum class LateWorth { Linear, Halving };
+/// How worth falls after the aim: evenly to late_utility at the deadline, or by half with each further aim.
+enum class LateDecay { Linear, Halving };
 
 struct ClassSettings {
-    Effect effect = Effect::Retryable;
+    DeliverySemantics delivery = DeliverySemantics::Retryable;
     DedupScope dedup_scope = DedupScope::All;
-    Time window{0};    ///< how long repeats are dropped, from the first doubtful send
-    Time aim{0};       ///< full worth when delivered within this time
-    Time deadline{0};  ///< no worth, and a final answer owed, after this time
-    double worth = 1.0;
-    double late_worth = 0.0;
+    Time dedup_window{0};    ///< how long repeats are dropped, from the first doubtful send
+    Time target_latency{0};  ///< full worth when delivered within this time
+    Time deadline{0};        ///< no worth, and a final answer owed, after this time
+    double utility = 1.0;
+    double late_utility = 0.0;
     bool sequential = false;  ///< messages that share a key go one at a time, in arrival order
 };
 
@@ -47,8 +47,8 @@
 };
 
 struct KindSettings {
-    bool routes_apart = false;  ///< each endpoint is a route with its own limit, waits and outages
-    std::size_t per_call = 1;   ///< messages that one call may carry
+    bool limits_per_endpoint = false;  ///< each endpoint is a route with its own limit, waits and outages
+    std::size_t max_messages_per_call = 1;  ///< messages that one call may carry
 };
 
 /// All that the operator tells a Sender at its start. Figures of the rules keep the operator's names.
@@ -58,48 +58,49 @@
     std::vector<KindSettings> kinds;
     std::optional<std::size_t> zone;  ///< index of this sender's own zone
     std::size_t zones = 0;
-    std::vector<double> zone_fees;  ///< by zone, for each message that a route apart there takes on; or empty
-    std::size_t n_instances = 1;
-    std::size_t slots = 0;      ///< calls out at once
-    std::size_t most_held = 0;  ///< messages held at once
+    std::vector<double>
+        zone_costs;  ///< by zone, for each message that a route apart there takes on; or empty
+    std::size_t instance_count = 1;
+    std::size_t max_calls = 0;          ///< calls out at once
+    std::size_t max_held_messages = 0;  ///< messages held at once
     std::size_t max_attempts = 1;
-    bool cancel = false;
-    bool must_subscribe = false;  ///< list changes come only after a Watch
-    bool listed_rates = false;    ///< ListEntry::rate is the destination's agreed rate
-    double floor_per_s = 0.0;     ///< operator's reservation for each destination (r); 0 means none
-    double over_share_worth = 1.0;
-    LateWorth loses_worth = LateWorth::Linear;
-    Time conn_idle{0};
-    Time fall{0};
-    Time warm_within{0};
-    Time settle_after_doubt{0};
-    double fall_multiple = 1.0;
-    double cold_from = 1.0;
+    bool can_cancel = false;
+    bool must_subscribe = false;     ///< list changes come only after a Watch
+    bool listed_rates = false;       ///< ListEntry::agreed_rate_per_s is the destination's agreed rate
+    double reservation_per_s = 0.0;  ///< operator's reservation for each destination (r); 0 means none
+    double over_quota_utility = 1.0;
+    LateDecay late_decay = LateDecay::Linear;
+    Time connection_idle_limit{0};
+    Time overload_window{0};
+    Time warm_up_time{0};
+    Time ambiguous_settle_time{0};
+    double overload_multiple = 1.0;
+    double cold_capacity_share = 1.0;
 };
 
 // ---- events ----
 
-enum class Condition { Gone, Ready, Draining };
-enum class ListKind { Cached, Full, Changes, Failed };
+enum class Condition { Removed, Ready, Draining };
+enum class ListUpdateKind { Cached, Full, Delta, Failed };
 
 struct ListEntry {
     EndpointId endpoint = 0;
     DestinationId destination = 0;
     std::size_t zone = 0;
     std::size_t kind = 0;
-    double rate = 0.0;  ///< agreed calls a second from all senders, where Settings::listed_rates
+    double agreed_rate_per_s = 0.0;  ///< agreed calls a second from all senders, where Settings::listed_rates
     Condition condition = Condition::Ready;
 };
-/// What the registry tells. Cached and Full replace the list; Changes amend it; Failed leaves it in force.
+/// What the registry tells. Cached and Full replace the list; Delta amends it; Failed leaves it in force.
 struct ListEvent {
-    ListKind kind = ListKind::Full;
+    ListUpdateKind kind = ListUpdateKind::Full;
     std::vector<ListEntry> entries;
 };
 /// The operator takes an endpoint out by hand, or ends that. It holds whatever the list says, before or
 /// after.
-struct BanEvent {
+struct AdminDisableEvent {
     EndpointId endpoint = 0;
-    bool on = true;
+    bool disabled = true;
 };
 /// A new message, to be ended exactly once by a terminal outcome, Refuse or Fail.
 struct MessageEvent {
@@ -108,18 +109,18 @@
     std::size_t message_class = 0;
     std::optional<std::size_t> tenant;
     std::optional<std::uint64_t> key;
-    Time left{0};  ///< time until the message is given up; not above 0: it is overdue
+    Time time_left{0};  ///< time until the message is given up; not above 0: it is overdue
     /// For a message that was taken on before a restart: attempts begun so far, and the first of them that
     /// may have run, if any.
     std::uint32_t attempts = 0;
-    struct Doubt {
+    struct AmbiguousAttempt {
         Time age{0};                           ///< since its sending
         std::optional<EndpointId> endpoint{};  ///< where it went, if that is still known
     };
-    std::optional<Doubt> doubt{};
+    std::optional<AmbiguousAttempt> ambiguous_attempt{};
     /// Its class as it was when the message was taken on, where that was before these Settings;
     /// `message_class` means nothing then.
-    std::optional<ClassSettings> terms{};
+    std::optional<ClassSettings> class_settings{};
 };
 /// The response of a streamed message has begun: the attempt belongs to the client from here on.
 struct StreamStarted {
@@ -127,37 +128,38 @@
     std::uint32_t attempt = 0;
 };
 enum class Outcome {
-    Served,
+    Delivered,
     ServerError,
-    TurnedAway,
-    NoAnswer,
-    NoConnection,
+    Rejected,
+    TimedOut,
+    ConnectFailed,
     ConnectionLost,
-    CalledOff,
+    Cancelled,
     NotSent,
-    Unreadable,  ///< an answer came, and it was spoilt: it may have run
-    Withheld     ///< not begun, since it might not any more: it never ran, and is no attempt
+    MalformedResponse,  ///< an answer came, and it was spoilt: it may have run
+    Withheld            ///< not begun, since it might not any more: it never ran, and is no attempt
 };
 struct LoadReport {
-    double left = 0.0;   ///< share of the limit that is left
-    double limit = 0.0;  ///< limit in calls a second from all senders; 0 where there is none
+    double remaining_share = 0.0;  ///< share of the limit that is left
+    double limit_per_s = 0.0;      ///< limit in calls a second from all senders; 0 where there is none
 };
 /// How an attempt ended; each Send gets exactly one.
 struct OutcomeEvent {
     MessageId message = 0;
     EndpointId endpoint = 0;
     std::uint32_t attempt = 0;
-    Outcome outcome = Outcome::Served;
+    Outcome outcome = Outcome::Delivered;
     bool terminal = false;  ///< the message has its final answer
     Time rtt{0};
-    Time wait{0};  ///< what is left of a told wait, 0 if none: it binds however the attempt ended
+    Time retry_after{0};  ///< what is left of a told wait, 0 if none: it binds however the attempt ended
     std::optional<LoadReport> report;
-    bool no_connections = false;  ///< TurnedAway, as the endpoint holds all the connections that it takes
+    bool connection_limit_reached =
+        false;  ///< Rejected, as the endpoint holds all the connections that it takes
 };
 /// An answer of which more is to come has told a wait.
-struct WaitTold {
+struct RetryAfterEvent {
     EndpointId endpoint = 0;
-    Time wait{0};
+    Time retry_after{0};
 };
 struct AbandonedEvent {
     MessageId message = 0;
@@ -165,11 +167,11 @@
 struct TimerFired {};
 struct ProbeResult {
     EndpointId endpoint = 0;
-    Outcome outcome = Outcome::Served;
+    Outcome outcome = Outcome::Delivered;
     Time rtt{0};
     std::optional<LoadReport> report;
 };
-struct PeerNote {
+struct PeerMessage {
     std::size_t from = 0;
     std::string bytes;
 };
@@ -179,20 +181,21 @@
     Settings settings;
 };
 /// A call that another process of this sender has out: it takes a slot here, and its outcomes come here.
-struct CallHandedOn {
+struct InheritedCall {
     EndpointId endpoint = 0;
     Time age{0};
     std::vector<std::pair<MessageId, std::uint32_t>> attempts;  ///< those without an outcome
 };
 /// What a Sender has learned of one endpoint or destination, or (with neither) of all, for the Sender that
 /// takes its place. Times are seconds from the moment of telling; what a name means is the module's affair.
-struct Learned {
+struct LearnedState {
     std::optional<EndpointId> endpoint;
     std::optional<DestinationId> destination;
-    std::map<std::string, double> figures;
+    std::map<std::string, double> values;
 };
-using Event = std::variant<ListEvent, BanEvent, SettingsEvent, CallHandedOn, Learned, MessageEvent,
-    StreamStarted, OutcomeEvent, WaitTold, AbandonedEvent, TimerFired, ProbeResult, PeerNote>;
+using Event =
+    std::variant<ListEvent, AdminDisableEvent, SettingsEvent, InheritedCall, LearnedState, MessageEvent,
+        StreamStarted, OutcomeEvent, RetryAfterEvent, AbandonedEvent, TimerFired, ProbeResult, PeerMessage>;
 
 // ---- actions ----
 
@@ -200,9 +203,9 @@
 struct Send {
     MessageId message = 0;
     EndpointId endpoint = 0;
-    Time time_out{0};
+    Time timeout{0};
     /// A repeat that must begin by then, however long its connection takes to come up; else it is NotSent.
-    std::optional<Time> begin_within{};
+    std::optional<Time> start_within{};
 };
 struct CancelAttempt {
     MessageId message = 0;
@@ -227,7 +230,7 @@
     EndpointId endpoint = 0;
 };
 /// A note to one peer, or to all where `to` is empty.
-struct TellPeers {
+struct SendToPeers {
     std::optional<std::size_t> to;
     std::string bytes;
 };
@@ -239,11 +242,11 @@
     std::string text;
 };
 /// Nothing here names the endpoint any more, and it is no longer listed. Its number must not be used again.
-struct Forget {
+struct ReleaseEndpoint {
     EndpointId endpoint = 0;
 };
-using Action = std::variant<Send, CancelAttempt, Refuse, Fail, SetTimer, Probe, CloseIdle, TellPeers, Watch,
-    FetchList, Log, Forget>;
+using Action = std::variant<Send, CancelAttempt, Refuse, Fail, SetTimer, Probe, CloseIdle, SendToPeers, Watch,
+    FetchList, Log, ReleaseEndpoint>;
 
 /// The decisions of one sender. Feed every event to observe(), then call decide() once for the batch and
 /// carry out the actions in order. Late or unknown message ids are passed over.
@@ -261,13 +264,13 @@
     std::vector<Action> decide(Time now);
     /// Whether an attempt may still begin. Its connection may have come up long after its Send: a wait that
     /// was told since then binds it too, and so do a drain, a ban and the end of its message.
-    bool may_begin(MessageId message, std::uint32_t attempt, Time now) const;
+    bool may_start(MessageId message, std::uint32_t attempt, Time now) const;
     /// For another Sender that takes over: observed there after the list and the messages.
-    std::vector<Learned> learned(Time now) const;
+    std::vector<LearnedState> learned_state(Time now) const;
 
 private:
-    class Logic;
-    std::unique_ptr<Logic> logic_;
+    class Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace cometspoke
--- a/src/learned_fields.hpp
+++ b/src/learned_state_fields.hpp
@@ -1,5 +1,5 @@
 /// Which fields of the learned state are serialized, by record: limits of a route, outages of an endpoint,
-/// rates of a destination. One list serves both directions (learned_figures.hpp). A new field is added here,
+/// rates of a destination. One list serves both directions (learned_state_io.hpp). A new field is added here,
 /// under a new name; a name is never given another meaning, since the other process may be of another
 /// version.
 #pragma once
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -66,7 +66,7 @@
         const std::error_code error = lockgw::system_error_of(bad);
         const bool in_use = error == std::errc::address_in_use;
         const auto longest = in_use ? kAddressInUse : kShortage;
-        if (!(in_use || lockgw::may_pass(error)) || std::chrono::steady_clock::now() - begun_ >= longest)
+        if (!(in_use || lockgw::is_transient(error)) || std::chrono::steady_clock::now() - begun_ >= longest)
             return false;
         if (std::exchange(told_, bad.what()) != bad.what())
             std::cerr << "lockgw: starts again: " << plain(bad.what()) << std::endl;
--- a/src/net/clients.cpp
+++ b/src/net/client_server.cpp
@@ -1,4 +1,4 @@
-#include "clients.hpp"
+#include "client_server.hpp"
 
 #include <fcntl.h>
 
@@ -12,8 +12,8 @@
 
 namespace lockgw {
 
-using cometspoke::settings::BadInput;
 using cometspoke::settings::index_of;
+using cometspoke::settings::InvalidInput;
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
@@ -39,7 +39,8 @@
     T value{};
     const char* end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, value);
-    if (parsed.ec != std::errc() || parsed.ptr != end) throw BadInput(std::string("bad number for ") + what);
+    if (parsed.ec != std::errc() || parsed.ptr != end)
+        throw InvalidInput(std::string("bad number for ") + what);
     return value;
 }
 
@@ -50,7 +51,7 @@
         const std::size_t end = std::min(text.find(',', at), text.size());
         const std::string pair = text.substr(at, end - at);
         const std::size_t equals = pair.find('=');
-        if (equals == std::string::npos) throw BadInput("a name without a value");
+        if (equals == std::string::npos) throw InvalidInput("a name without a value");
         pairs.insert_or_assign(pair.substr(0, equals), pair.substr(equals + 1));
         at = end + 1;
     }
@@ -59,9 +60,9 @@
 
 /// The key goes on as a header of the call: nothing that could end a header line may be in it.
 void check_key(const std::string& key) {
-    if (key.size() > kLongestKey) throw BadInput("k is too long");
+    if (key.size() > kLongestKey) throw InvalidInput("k is too long");
     for (const char letter : key)
-        if (letter <= ' ' || letter > '~') throw BadInput("k holds an unprintable character");
+        if (letter <= ' ' || letter > '~') throw InvalidInput("k holds an unprintable character");
 }
 
 /// The first argument of ENQUEUE: up to 16 hex digits. All zeros stand for no key.
@@ -69,39 +70,40 @@
     constexpr std::size_t most_digits = 16;
     if (text.empty() || text.size() > most_digits ||
         text.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos)
-        throw BadInput("the order key is not 1 to 16 hex digits");
+        throw InvalidInput("the order key is not 1 to 16 hex digits");
     const std::uint64_t key = std::stoull(text, nullptr, 16);
     return key == 0 ? std::nullopt : std::optional(key);
 }
 
 }  // namespace
 
-Message message_of(const resp::Command& command, const Config& config, Wall now, cometspoke::Time& left) {
-    if (command.size() != 5) throw BadInput("wrong number of arguments for ENQUEUE");
+Message message_of(
+    const resp::Command& command, const Config& config, PersistentTime now, cometspoke::Time& left) {
+    if (command.size() != 5) throw InvalidInput("wrong number of arguments for ENQUEUE");
     auto pairs = pairs_of(command[3]);
     const auto value = [&pairs](const char* name) -> const std::string& {
         const auto found = pairs.find(name);
-        if (found == pairs.end()) throw BadInput(std::string("missing ") + name);
+        if (found == pairs.end()) throw InvalidInput(std::string("missing ") + name);
         return found->second;
     };
     Message message;
-    message.id = cometspoke::settings::id_of(command[2]);
+    message.id = cometspoke::settings::parse_message_id(command[2]);
     message.message_class = value("c");
     const std::size_t index = index_of(config.names.classes, message.message_class, "class");
     if (!config.names.tenants.empty()) {
         message.tenant = value("t");
         index_of(config.names.tenants, message.tenant, "tenant");
     }
-    message.terms = config.settings.classes[index];
-    if (message.terms->sequential) message.order_key = order_key_of(command[1]);
-    const bool keyed = message.terms->effect == cometspoke::Effect::Dedup;
+    message.class_settings = config.settings.classes[index];
+    if (message.class_settings->sequential) message.order_key = order_key_of(command[1]);
+    const bool keyed = message.class_settings->delivery == cometspoke::DeliverySemantics::Deduplicated;
     if (keyed || pairs.contains("k")) message.key = value("k");
     check_key(message.key);
     message.destination = number_of<std::int64_t>(value("dest"), "dest");
     const auto left_ms = number_of<double>(value("d"), "d");
-    if (!(left_ms >= 0 && left_ms <= kLongestMs)) throw BadInput("bad number for d");
+    if (!(left_ms >= 0 && left_ms <= kLongestMs)) throw InvalidInput("bad number for d");
     // no message of the class may be delivered for longer, whatever its client says
-    left = std::min(cometspoke::settings::from_ms(left_ms), message.terms->deadline);
+    left = std::min(cometspoke::settings::from_ms(left_ms), message.class_settings->deadline);
     message.deadline = now + left;
     message.body = command[4];
     return message;
@@ -110,9 +112,9 @@
 /// One connection: reads a command, has it answered, writes the answer, and only then goes on.
 class ClientSession : public std::enable_shared_from_this<ClientSession> {
 public:
-    using State = Clients::State;
+    using State = ClientServer::State;
 
-    ClientSession(Tcp::socket socket, Clients& owner) : socket_(std::move(socket)), owner_(owner) {}
+    ClientSession(Tcp::socket socket, ClientServer& owner) : socket_(std::move(socket)), owner_(owner) {}
 
     void start() {
         boost::system::error_code ignored;
@@ -221,7 +223,7 @@
     void write(std::string text) {
         enter(State::Writing);
         out_ = std::move(text);
-        write_whole(socket_, out_, [self = shared_from_this()](const auto& failed, std::size_t) {
+        write_all(socket_, out_, [self = shared_from_this()](const auto& failed, std::size_t) {
             if (self->closed_) return;
             if (failed) return self->close();
             self->last_ ? self->finish() : self->next();
@@ -242,9 +244,9 @@
     }
 
     Tcp::socket socket_;
-    Clients& owner_;
+    ClientServer& owner_;
     State state_ = State::Silent;
-    Clients::Sessions::iterator place_;
+    ClientServer::Sessions::iterator place_;
     Clock::time_point since_ = Clock::now();
     resp::Parser parser_;
     std::string out_;
@@ -252,7 +254,7 @@
     bool awaiting_ = false, last_ = false, closed_ = false;
 };
 
-Clients::Clients(asio::io_context& io, const Config& config, const LastingClock& clock,
+ClientServer::ClientServer(asio::io_context& io, const Config& config, const PersistentClock& clock,
     std::size_t most_connections, Enqueue enqueue, Emptied emptied)
     : io_(io),
       config_(config),
@@ -263,14 +265,14 @@
       acceptor_(io),
       pause_(io),
       sweep_(io) {}
-Clients::~Clients() = default;
+ClientServer::~ClientServer() = default;
 
-void Clients::open() try {
+void ClientServer::open() try {
     if (acceptor_.is_open()) return;
-    if (config_.inherited) {
+    if (config_.inherited_listener) {
         // marked: no program that this one may start has any use for it
-        ::fcntl(*config_.inherited, F_SETFD, FD_CLOEXEC);
-        acceptor_.assign(config_.listen.protocol(), *config_.inherited);
+        ::fcntl(*config_.inherited_listener, F_SETFD, FD_CLOEXEC);
+        acceptor_.assign(config_.listen.protocol(), *config_.inherited_listener);
     } else {
         acceptor_.open(config_.listen.protocol());
         acceptor_.set_option(Tcp::acceptor::reuse_address(true));
@@ -279,39 +281,39 @@
     }
     acceptor_.non_blocking(true);
 } catch (...) {
-    if (!config_.inherited) close_listener();
+    if (!config_.inherited_listener) close_listener();
     throw;
 }
-void Clients::listen() {
+void ClientServer::listen() {
     accept();
     sweep();
 }
 
-void Clients::pause() {
+void ClientServer::pause() {
     paused_ = true;
     boost::system::error_code ignored;
     acceptor_.cancel(ignored);
 }
-void Clients::resume() {
+void ClientServer::resume() {
     paused_ = false;
-    if (!acceptor_.is_open() && !draining_ && !config_.inherited) open();
+    if (!acceptor_.is_open() && !draining_ && !config_.inherited_listener) open();
     if (acceptor_.is_open()) accept();
 }
-void Clients::leave() {
+void ClientServer::hand_over_clients() {
     pause();
-    if (!config_.inherited) {
+    if (!config_.inherited_listener) {
         accept_waiting();
         close_listener();
     }
-    send_off(true);
+    set_closing_between_requests(true);
 }
 /// Closed and never shut down: the socket itself is shared with the other process and the platform.
-void Clients::close_listener() {
+void ClientServer::close_listener() {
     boost::system::error_code ignored;
     acceptor_.close(ignored);
 }
 
-void Clients::accept() {
+void ClientServer::accept() {
     if (paused_ || !acceptor_.is_open() || draining_ || accepting_ || !make_room())
         return;  // room is made by a close, which may accept too
     if (accepting_) return;
@@ -334,7 +336,7 @@
     });
 }
 
-SocketResult Clients::accept_one() {
+SocketResult ClientServer::accept_one() {
     Descriptor connection(::accept(acceptor_.native_handle(), nullptr, nullptr));
     if (connection.get() < 0) {
         const SocketResult result = classify({errno, boost::system::system_category()});
@@ -347,7 +349,7 @@
 }
 
 /// Where the event loop lacks memory for one more connection it waits, and is not closed.
-void Clients::serve(const std::shared_ptr<Descriptor>& connection) {
+void ClientServer::serve(const std::shared_ptr<Descriptor>& connection) {
     Tcp::socket socket(io_);
     boost::system::error_code failed;
     socket.assign(config_.listen.protocol(), connection->get(), failed);
@@ -361,11 +363,11 @@
     pause->async_wait([this, pause, connection](auto) { serve(connection); });
 }
 
-std::size_t Clients::most() const { return most_ - std::min(elsewhere_, most_ / 2); }
+std::size_t ClientServer::most() const { return most_ - std::min(elsewhere_, most_ / 2); }
 
 /// At the limit one that has its answer or has asked for nothing goes, the longest so first; half a command
 /// and what was just connected come last, and one with a request open never goes.
-bool Clients::make_room() {
+bool ClientServer::make_room() {
     if (count_ < most()) return true;
     return close_first(Leaving, 0s) || close_first(Silent, kJustConnected) ||
            close_first(Idle, kIdleWhenShort) || close_first(Partly, kUnfinished / 4) ||
@@ -373,7 +375,7 @@
 }
 /// The one that came to this state first, if that is so long ago. One that rests and has sent something is
 /// passed over, but for one that has never got to ask for anything.
-bool Clients::close_first(State state, Clock::duration rest) {
+bool ClientServer::close_first(State state, Clock::duration rest) {
     for (const auto& session : sessions_[state]) {
         const auto age = Clock::now() - session->since();
         if (age < rest) return false;
@@ -386,14 +388,14 @@
 }
 
 /// Many that each send half of a long command must not fill the memory.
-void Clients::bound_buffers() {
+void ClientServer::bound_buffers() {
     const std::size_t most = config_.memory_bytes / kBufferShare;
     while (buffered_ > most && !sessions_[Partly].empty())
         std::shared_ptr(sessions_[Partly].front())->turn_away("too much at once");
 }
 
 /// What is owed to every connection in time: an answer or a close.
-void Clients::sweep() {
+void ClientServer::sweep() {
     while (close_first(Silent, kSilent)) continue;
     while (close_first(Writing, kUnread)) continue;
     while (close_first(Leaving, kLinger)) continue;
@@ -408,17 +410,17 @@
     });
 }
 
-void Clients::drain() {
+void ClientServer::drain() {
     draining_ = true;
     boost::system::error_code ignored;
     acceptor_.cancel(ignored);
     close_listener_when_empty();
-    send_off(true);
+    set_closing_between_requests(true);
     close_resting(Silent);
 }
 
 /// While accept fails for want of something, connections may wait in the queue with their requests.
-void Clients::close_listener_when_empty() {
+void ClientServer::close_listener_when_empty() {
     if (!acceptor_.is_open()) return;
     if (paused_ || accept_waiting()) return close_listener();
     pause_.expires_after(kAcceptPause);
@@ -430,12 +432,12 @@
     });
 }
 
-void Clients::send_off(bool off) {
+void ClientServer::set_closing_between_requests(bool off) {
     sending_off_ = off;
     if (off) close_resting(Idle);
 }
 
-void Clients::close_resting(State state) {
+void ClientServer::close_resting(State state) {
     const auto rest = state == Silent ? kJustConnected : Clock::duration(0);
     const Sessions all = sessions_[state];
     for (const auto& session : all)
@@ -443,7 +445,7 @@
 }
 
 /// Closing the listener resets connections that wait in its queue, with the requests written to them.
-bool Clients::accept_waiting() {
+bool ClientServer::accept_waiting() {
     int errors = 0;
     while (count_ < most()) {
         const SocketResult result = accept_one();
@@ -453,7 +455,7 @@
     return true;
 }
 
-void Clients::handle(const resp::Command& command, const Answer& answer) {
+void ClientServer::handle(const resp::Command& command, const Reply& answer) {
     using boost::algorithm::iequals;
     if (iequals(command[0], "PING") && saying_no_) return answer(resp::error("BUSY draining"));
     if (iequals(command[0], "PING"))
@@ -463,7 +465,7 @@
     Message message;
     try {
         message = message_of(command, config_, clock_.now(), left);
-    } catch (const BadInput& bad) {
+    } catch (const InvalidInput& bad) {
         std::string text = std::string("ERR ") + bad.what();
         for (char& letter : text)  // what the client sent stands in it
             if (letter < ' ' || letter > '~') letter = '?';
--- a/src/net/clients.hpp
+++ b/src/net/client_server.hpp
@@ -21,18 +21,18 @@
 
 class ClientSession;
 
-class Clients {
+class ClientServer {
 public:
-    using Answer = std::function<void(std::string)>;
+    using Reply = std::function<void(std::string)>;
     /// Called for each sound ENQUEUE; answers it once, in this call or later.
-    using Enqueue = std::function<void(Message, cometspoke::Time left, Answer)>;
+    using Enqueue = std::function<void(Message, cometspoke::Time left, Reply)>;
 
     /// Called whenever the last connection has gone.
     using Emptied = std::function<void()>;
 
-    Clients(asio::io_context& io, const Config& config, const LastingClock& clock,
+    ClientServer(asio::io_context& io, const Config& config, const PersistentClock& clock,
         std::size_t most_connections, Enqueue enqueue, Emptied emptied);
-    ~Clients();
+    ~ClientServer();
 
     /// Takes the listening socket that is inherited, or binds one. Throws where neither can be had.
     void open();
@@ -42,16 +42,16 @@
     void resume();
     /// Another process takes the clients: those here are served and closed between requests. A listener that
     /// was bound here is closed, so that the other can bind it.
-    void leave();
+    void hand_over_clients();
     /// This process's copy of the listener, where the platform holds it.
     void close_listener();
     /// So many connections that count here are held by another process.
-    void reserve(std::size_t elsewhere) { elsewhere_ = elsewhere; }
-    std::size_t count() const { return count_; }
+    void set_reserved_connections(std::size_t elsewhere) { elsewhere_ = elsewhere; }
+    std::size_t connection_count() const { return count_; }
     /// The front's question is answered no, so that it sends its clients elsewhere.
-    void say_no(bool no) { saying_no_ = no; }
+    void set_unready(bool no) { saying_no_ = no; }
     /// Connections close between requests; new ones are served alike.
-    void send_off(bool off);
+    void set_closing_between_requests(bool off);
     /// No new connections; those there are close between requests.
     void drain();
     bool listening() const { return acceptor_.is_open() && !paused_; }
@@ -85,11 +85,11 @@
     bool close_first(State state, Clock::duration rest);
     void sweep();
     void bound_buffers();
-    void handle(const resp::Command& command, const Answer& answer);
+    void handle(const resp::Command& command, const Reply& answer);
 
     asio::io_context& io_;
     const Config& config_;
-    const LastingClock& clock_;  // of deadlines
+    const PersistentClock& clock_;  // of deadlines
     std::size_t most_, elsewhere_ = 0;
     Enqueue enqueue_;
     Emptied emptied_;
@@ -104,7 +104,8 @@
     std::array<char, 16 * 1024> in_{};  // of the connection that is read just now
 };
 
-/// An ENQUEUE's words as a message; `left` is its `d`. Throws BadInput naming what is wrong.
-Message message_of(const resp::Command& command, const Config& config, Wall now, cometspoke::Time& left);
+/// An ENQUEUE's words as a message; `left` is its `d`. Throws InvalidInput naming what is wrong.
+Message message_of(
+    const resp::Command& command, const Config& config, PersistentTime now, cometspoke::Time& left);
 
 }  // namespace lockgw
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -12,9 +12,9 @@
 namespace lockgw {
 namespace {
 
-using cometspoke::settings::BadInput;
-using cometspoke::settings::field;
-using cometspoke::settings::need;
+using cometspoke::settings::InvalidInput;
+using cometspoke::settings::require_field;
+using cometspoke::settings::required_value;
 using cometspoke::settings::value_or;
 
 template <class Endpoint>
@@ -22,12 +22,12 @@
     const auto colon = text.rfind(':');
     std::uint16_t port = 0;
     boost::system::error_code bad;
-    if (colon == std::string::npos) throw BadInput(std::string(what) + " is not host:port: " + text);
+    if (colon == std::string::npos) throw InvalidInput(std::string(what) + " is not host:port: " + text);
     const char* end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data() + colon + 1, end, port);
     const auto address = asio::ip::make_address(text.substr(0, colon), bad);
     if (bad || parsed.ec != std::errc() || parsed.ptr != end)
-        throw BadInput(std::string(what) + " is not host:port: " + text);
+        throw InvalidInput(std::string(what) + " is not host:port: " + text);
     return Endpoint(address, port);
 }
 
@@ -35,18 +35,19 @@
     std::uint64_t seed = 0;
     const char* end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, seed, 16);
-    if (parsed.ec != std::errc() || parsed.ptr != end) throw BadInput("seed is not a hex number: " + text);
+    if (parsed.ec != std::errc() || parsed.ptr != end)
+        throw InvalidInput("seed is not a hex number: " + text);
     return seed;
 }
 
 void read_limits(const Json& limits, Config& config) {
-    const auto sockets = field<std::int64_t>(limits, "sockets");
-    const auto disk_mb = field<double>(limits, "disk_mb");
-    if (sockets < 64) throw BadInput("limits.sockets is under 64");
-    if (!(disk_mb > 0 && disk_mb < 1e6)) throw BadInput("limits.disk_mb makes no sense");
+    const auto sockets = required_value<std::int64_t>(limits, "sockets");
+    const auto disk_mb = required_value<double>(limits, "disk_mb");
+    if (sockets < 64) throw InvalidInput("limits.sockets is under 64");
+    if (!(disk_mb > 0 && disk_mb < 1e6)) throw InvalidInput("limits.disk_mb makes no sense");
     const auto memory_mb = value_or(limits, "memory_mb", 64.0);
-    if (!(memory_mb > 0 && memory_mb < 1e9)) throw BadInput("limits.memory_mb makes no sense");
-    config.sockets = static_cast<std::size_t>(sockets);
+    if (!(memory_mb > 0 && memory_mb < 1e9)) throw InvalidInput("limits.memory_mb makes no sense");
+    config.max_descriptors = static_cast<std::size_t>(sockets);
     config.memory_bytes = static_cast<std::size_t>(memory_mb * 1024 * 1024);
     config.disk_bytes = static_cast<std::size_t>(disk_mb * 1024 * 1024);
 }
@@ -72,12 +73,12 @@
         if (may_go(key)) continue;
         const auto found = fresh.find(key);
         if (found == fresh.end() || found->is_null() != value.is_null())
-            throw BadInput("missing field " + where + key);
-        if (value.is_object() && !found->is_object()) throw BadInput(where + key + " is no object");
+            throw InvalidInput("missing field " + where + key);
+        if (value.is_object() && !found->is_object()) throw InvalidInput(where + key + " is no object");
         if (value.is_object()) require_keys(value, *found, where + key + ".");
         if (key != "classes" || !value.is_array() || value.empty()) continue;
         for (const Json& one : *found) {
-            if (!one.is_object()) throw BadInput(where + "classes holds what is no class");
+            if (!one.is_object()) throw InvalidInput(where + "classes holds what is no class");
             require_keys(value.front(), one, where + "classes.");
         }
     }
@@ -85,7 +86,7 @@
 
 std::string environment(const char* name) {
     const char* value = std::getenv(name);
-    if (value == nullptr || *value == '\0') throw BadInput(std::string(name) + " is not set");
+    if (value == nullptr || *value == '\0') throw InvalidInput(std::string(name) + " is not set");
     return value;
 }
 
@@ -95,7 +96,7 @@
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), fd);
     const bool number = parsed.ec == std::errc() && parsed.ptr == text.data() + text.size();
     if (!number || ::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listening, &length) != 0 || listening == 0)
-        throw BadInput("NODE_FD is no listening socket: " + text);
+        throw InvalidInput("NODE_FD is no listening socket: " + text);
     return fd;
 }
 
@@ -113,26 +114,26 @@
 
 Config read_config(const Json& file, const Config* before) {
     Config config;
-    if (before != nullptr) require_keys(before->file, file, "");
-    config.file = file;
-    config.file.erase("known");  // long, and read by now
+    if (before != nullptr) require_keys(before->json, file, "");
+    config.json = file;
+    config.json.erase("known");  // long, and read by now
     config.name = value_or<std::string>(file, "name", "");
-    config.listen = tcp_endpoint(field<std::string>(file, "listen"), "listen");
-    config.discovery = tcp_endpoint(field<std::string>(file, "discovery"), "discovery");
-    config.seed = seed_of(field<std::string>(file, "seed"));
-    read_limits(need(file, "limits"), config);
+    config.listen = tcp_endpoint(required_value<std::string>(file, "listen"), "listen");
+    config.discovery = tcp_endpoint(required_value<std::string>(file, "discovery"), "discovery");
+    config.seed = seed_of(required_value<std::string>(file, "seed"));
+    read_limits(require_field(file, "limits"), config);
     read_peers(file, config);
     if (const auto operators = value_or<std::string>(file, "management", ""); !operators.empty())
         config.management = tcp_endpoint(operators, "management");
-    config.known = value_or(file, "known", Json::object());
-    const Json& params = need(file, "settings");
-    config.names = cometspoke::settings::names_of(
+    config.known_list = value_or(file, "known", Json::object());
+    const Json& params = require_field(file, "settings");
+    config.names = cometspoke::settings::parse_names(
         params, before != nullptr ? before->names : cometspoke::settings::Names());
-    config.settings = cometspoke::settings::settings_of(params, config.names);
-    const auto timeout_ms = value_or(need(params, "limits"), "connect_timeout_ms", 1000.0);
-    if (!(timeout_ms > 0 && timeout_ms < 1e6)) throw BadInput("limits.connect_timeout_ms makes no sense");
+    config.settings = cometspoke::settings::parse_settings(params, config.names);
+    const auto timeout_ms = value_or(require_field(params, "limits"), "connect_timeout_ms", 1000.0);
+    if (!(timeout_ms > 0 && timeout_ms < 1e6)) throw InvalidInput("limits.connect_timeout_ms makes no sense");
     config.connect_timeout = std::chrono::milliseconds(static_cast<std::int64_t>(timeout_ms));
-    config.reports =
+    config.load_reports =
         value_or<std::string>(value_or(params, "report", Json::object()), "source", "off") == "inline";
     return config;
 }
@@ -142,11 +143,11 @@
     const FileContents text = read_file_with_retries(path);
     if (text.error) throw std::system_error(text.error, "NODE_CONFIG cannot be read: " + path);
     const Json file = Json::parse(text.bytes);
-    if (!file.is_object()) throw BadInput("NODE_CONFIG is not a JSON object");
+    if (!file.is_object()) throw InvalidInput("NODE_CONFIG is not a JSON object");
     Config config = read_config(file, before);
     config.state = environment("NODE_STATE");
     if (const char* inherited = std::getenv("NODE_FD"); inherited != nullptr && *inherited != '\0')
-        config.inherited = listening_socket(inherited);
+        config.inherited_listener = listening_socket(inherited);
     // before the file's: two processes may share the file, and each has an address of its own
     if (const char* operators = std::getenv("NODE_MANAGEMENT"); operators != nullptr && *operators != '\0')
         config.management = tcp_endpoint(operators, "NODE_MANAGEMENT");
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -24,22 +24,22 @@
     Tcp::endpoint listen, discovery;
     std::filesystem::path state;
     std::uint64_t seed = 0;
-    std::size_t sockets = 1024;  ///< most descriptors of the process
+    std::size_t max_descriptors = 1024;  ///< most descriptors of the process
     std::size_t memory_bytes = 64 << 20;
     std::size_t disk_bytes = 0;               ///< room in `state`
-    std::optional<int> inherited;             ///< the clients' listening socket, where the platform holds it
+    std::optional<int> inherited_listener;    ///< the clients' listening socket, where the platform holds it
     std::optional<Tcp::endpoint> management;  ///< where operators call
     std::optional<Udp::endpoint> peer_listen, peers_all;
     std::vector<Udp::endpoint> peers;  ///< by their numbers, its own among them
-    Json file;                         ///< all of it, as it was read
-    Json known;                        ///< the list of targets as last had, in discovery's form
+    Json json;                         ///< all of it, as it was read
+    Json known_list;                   ///< the list of targets as last had, in discovery's form
     cometspoke::settings::Names names;
     cometspoke::Settings settings;
     std::chrono::milliseconds connect_timeout{1000};
-    bool reports = false;  ///< answers may carry load reports
+    bool load_reports = false;  ///< answers may carry load reports
 };
 
-/// "host:port" with a numeric address; throws BadInput naming `what`.
+/// "host:port" with a numeric address; throws InvalidInput naming `what`.
 Tcp::endpoint tcp_endpoint(const std::string& text, const char* what);
 std::string text_of(const Tcp::endpoint& endpoint);
 Udp::endpoint udp_endpoint(const std::string& text, const char* what);
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -18,7 +18,7 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 using namespace std::chrono_literals;
-using cometspoke::settings::BadInput;
+using cometspoke::settings::InvalidInput;
 
 namespace {
 
@@ -39,9 +39,9 @@
 constexpr auto kLatestMoved = 1000ms;
 constexpr auto kLongestPause = 1000ms;
 constexpr auto kLongestAfterSilence = 400ms;  // such a call has cost its own time already
-static_assert(
-    Turns::kHold + Turns::kWithin + Turns::kFirstHold + Turns::kFirstWithin + 2 * kLongestAfterSilence <
-    kToldAfter);
+static_assert(CallSchedule::kHold + CallSchedule::kWithin + CallSchedule::kFirstHold +
+                  CallSchedule::kFirstWithin + 2 * kLongestAfterSilence <
+              kToldAfter);
 // Of a body that is read at once, as the protocol allows any; a longer one is a list of very many targets,
 // and is read in pieces as it arrives.
 constexpr std::size_t kMostAtOnce = 64 * 1024;
@@ -83,7 +83,7 @@
 /// A kept-alive connection to the agent, one request at a time; it is made anew after any failure.
 ///
 /// Its handlers hold it, and pass over what an earlier request left behind: it may be given up at any moment.
-class AgentConnection : public std::enable_shared_from_this<AgentConnection> {
+class DiscoveryConnection : public std::enable_shared_from_this<DiscoveryConnection> {
     template <class Next>
     auto guarded(Next next) {
         return [self = shared_from_this(), stream = stream_, turn = turn_, next](auto failed, auto&&...) {
@@ -99,7 +99,7 @@
     /// throws, the answer is over: status 0, and what was thrown as its body.
     using Piece = std::function<void(std::string_view)>;
 
-    AgentConnection(asio::io_context& io, const Tcp::endpoint& address)
+    DiscoveryConnection(asio::io_context& io, const Tcp::endpoint& address)
         : io_(io), address_(address), stream_(std::make_shared<beast::tcp_stream>(io)) {}
 
     /// Without `piece` an answer's body may not be long.
@@ -128,13 +128,13 @@
         answer_begun_ = false;
         reused_ = stream_->socket().is_open();
         if (reused_) return write();
-        stream_->async_connect(address_, guarded([](AgentConnection& self) { self.write(); }));
+        stream_->async_connect(address_, guarded([](DiscoveryConnection& self) { self.write(); }));
     }
     /// All requests may be repeated. What this machine lacked for a moment is tried again within the same
     /// time, and so are notices on a connection that had rested and was ended meanwhile. A call for the list
     /// is not: an agent that ends many at once must not get all of them again at once.
     void failed(const boost::system::error_code& error) {
-        const bool local = is_local(classify(error));
+        const bool local = is_local_error(classify(error));
         const bool timed_out = error == beast::error::timeout;
         const bool rested = reused_ && request_.method() == http::verb::post;
         if (answer_begun_ || timed_out || !(local || rested)) return fail(error.message());
@@ -143,7 +143,7 @@
         if (!local) return begin();
         const auto pause = std::make_shared<asio::steady_timer>(io_, kShortagePause);
         if (std::chrono::steady_clock::now() + kShortagePause >= until_) return fail(error.message());
-        pause->async_wait(guarded([pause](AgentConnection& self) { self.begin(); }));
+        pause->async_wait(guarded([pause](DiscoveryConnection& self) { self.begin(); }));
     }
     void write() {
         bytes_ = bytes_of(request_);
@@ -154,11 +154,12 @@
         limit->async_wait([stream = stream_](auto cancelled) {
             if (!cancelled) stream->close();
         });
-        write_whole(stream_->socket(), bytes_,
-            [limit, next = guarded([](AgentConnection& self) { self.read(); })](auto failed, std::size_t) {
-                limit->cancel();
-                next(failed);
-            });
+        write_all(stream_->socket(), bytes_, [limit, next = guarded([](DiscoveryConnection& self) {
+            self.read();
+        })](auto failed, std::size_t) {
+            limit->cancel();
+            next(failed);
+        });
     }
     void read() {
         parser_.emplace();
@@ -170,7 +171,7 @@
     }
     void read_some() {
         http::async_read_some(
-            *stream_, buffer_, *parser_, guarded([](AgentConnection& self) { self.took_some(); }));
+            *stream_, buffer_, *parser_, guarded([](DiscoveryConnection& self) { self.took_some(); }));
     }
     void took_some() {
         answer_begun_ = true;
@@ -181,7 +182,7 @@
     }
     bool took_piece() try {
         if (!piece_ || parser_->get().result() != http::status::ok)
-            throw cometspoke::settings::BadInput("a body of more than 64 KiB");
+            throw cometspoke::settings::InvalidInput("a body of more than 64 KiB");
         std::string& body = parser_->get().body();
         const auto more_time = std::chrono::milliseconds(body.size() / kLeastBytesPerMs);
         stream_->expires_at(until_ += more_time);
@@ -222,42 +223,42 @@
     Piece piece_;
 };
 
-Turns::Turns(std::size_t forwarders, std::uint64_t seed)
+CallSchedule::CallSchedule(std::size_t forwarders, std::uint64_t seed)
     : random_(seed), of_all_(kTurn * static_cast<std::int64_t>(std::min(forwarders, kMostForwarders))) {}
 
-std::chrono::milliseconds Turns::first() { return any_of(std::min(of_all_, kLatestFirst)); }
-std::chrono::milliseconds Turns::moved() { return any_of(std::min(of_all_, kLatestMoved)); }
-std::chrono::milliseconds Turns::after_failure(int failures) {
+std::chrono::milliseconds CallSchedule::first() { return any_of(std::min(of_all_, kLatestFirst)); }
+std::chrono::milliseconds CallSchedule::moved() { return any_of(std::min(of_all_, kLatestMoved)); }
+std::chrono::milliseconds CallSchedule::after_failure(int failures) {
     return half_or_more_of(std::min(std::max(kRetry, of_all_) * doubled(failures), kLongestPause));
 }
-std::chrono::milliseconds Turns::after_silence(int failures) {
+std::chrono::milliseconds CallSchedule::after_silence(int failures) {
     return half_or_more_of(std::min(std::max(kRetry, of_all_) * doubled(failures), kLongestAfterSilence));
 }
-std::chrono::milliseconds Turns::after_refused_notices(int failures) {
+std::chrono::milliseconds CallSchedule::after_refused_notices(int failures) {
     return half_or_more_of(kNoticeRetry * (1 << std::clamp(failures - 1, 0, kNoticeDoublings)));
 }
 
-std::chrono::milliseconds Turns::notices_within(int failures) {
+std::chrono::milliseconds CallSchedule::notices_within(int failures) {
     return std::min<std::chrono::milliseconds>(kWithin, kNoticesWithin * (1 << std::min(failures, 4)));
 }
 
-int Turns::doubled(int failures) { return 1 << std::clamp(failures - 1, 0, kRetryDoublings); }
-std::chrono::milliseconds Turns::any_of(std::chrono::milliseconds span) {
+int CallSchedule::doubled(int failures) { return 1 << std::clamp(failures - 1, 0, kRetryDoublings); }
+std::chrono::milliseconds CallSchedule::any_of(std::chrono::milliseconds span) {
     return std::chrono::milliseconds(std::uniform_int_distribution<std::int64_t>(0, span.count())(random_));
 }
-std::chrono::milliseconds Turns::half_or_more_of(std::chrono::milliseconds span) {
+std::chrono::milliseconds CallSchedule::half_or_more_of(std::chrono::milliseconds span) {
     return span / 2 + any_of(span / 2);
 }
 
 Discovery::Discovery(
-    asio::io_context& io, const Config& config, Directory& directory, Told told, Confirmed confirmed)
+    asio::io_context& io, const Config& config, EndpointDirectory& directory, Told told, Confirmed confirmed)
     : io_(io),
       address_(config.discovery),
       directory_(directory),
-      limits_(list_limits(config.memory_bytes, config.sockets)),
+      limits_(list_limits(config.memory_bytes, config.max_descriptors)),
       told_(std::move(told)),
       confirmed_(std::move(confirmed)),
-      turns_(config.settings.n_instances, config.seed),
+      turns_(config.settings.instance_count, config.seed),
       watch_pause_(io),
       report_pause_(io) {}
 Discovery::~Discovery() { leave(); }
@@ -266,8 +267,8 @@
 
 void Discovery::begin(std::optional<std::int64_t> held, std::chrono::milliseconds pause) {
     revision_ = held;
-    watch_ = std::make_shared<AgentConnection>(io_, address_);
-    reports_ = std::make_shared<AgentConnection>(io_, address_);
+    watch_ = std::make_shared<DiscoveryConnection>(io_, address_);
+    reports_ = std::make_shared<DiscoveryConnection>(io_, address_);
     watch_after(pause);
     post();
 }
@@ -309,11 +310,11 @@
     watch_waits_ = telling_.has_value();  // an answer must not cross what is still told
     if (watch_waits_) return;
     std::string path = "/v1/servers";
-    const auto hold = heard_ ? Turns::kHold : Turns::kFirstHold;
+    const auto hold = heard_ ? CallSchedule::kHold : CallSchedule::kFirstHold;
     if (revision_) path += "?from=" + std::to_string(*revision_) + "&hold_ms=" + std::to_string(hold.count());
-    const auto within = !revision_ ? Turns::kListWithin
-                        : heard_   ? hold + Turns::kWithin
-                                   : hold + Turns::kFirstWithin;
+    const auto within = !revision_ ? CallSchedule::kListWithin
+                        : heard_   ? hold + CallSchedule::kWithin
+                                   : hold + CallSchedule::kFirstWithin;
     silent_at_ = std::chrono::steady_clock::now() + within;
     watch_->ask(
         http::verb::get, path, "", within,
@@ -346,9 +347,9 @@
 }
 
 bool Discovery::watched(const std::string& body) try {
-    const TargetList list = list_of(Json::parse(body), limits_.entries);
+    const EndpointList list = parse_endpoint_list(Json::parse(body), limits_.entries);
     // Changes build on the list that they were asked for; without one they say nothing whole.
-    if (!list.complete && !revision_) throw BadInput("changes instead of the whole list");
+    if (!list.complete && !revision_) throw InvalidInput("changes instead of the whole list");
     if (list.complete && directory_.size() > kMostToldAtOnce) return update_by(list);
     revision_ = list.revision;
     told_(list);
@@ -358,9 +359,9 @@
     return false;
 }
 
-bool Discovery::update_by(const TargetList& list) {
+bool Discovery::update_by(const EndpointList& list) {
     update_ = std::make_shared<ListUpdate>(directory_);
-    for (const Target& target : list.targets) update_->take(target);
+    for (const EndpointRecord& target : list.endpoints) update_->take(target);
     tell({list.revision, list.complete});
     return true;
 }
@@ -368,14 +369,15 @@
 void Discovery::read_piece(std::string_view piece) {
     if (!reader_) {
         update_ = std::make_shared<ListUpdate>(directory_);
-        reader_.emplace(limits_, [update = update_](Target target) { update->take(std::move(target)); });
+        reader_.emplace(
+            limits_, [update = update_](EndpointRecord target) { update->take(std::move(target)); });
     }
     reader_->feed(piece);
 }
 
 bool Discovery::read_to_the_end() try {
     const ListReader::Head head = reader_->finish();
-    if (!head.complete && !revision_) throw BadInput("changes instead of the whole list");
+    if (!head.complete && !revision_) throw InvalidInput("changes instead of the whole list");
     reader_.reset();
     tell(head);
     return true;
@@ -403,7 +405,7 @@
 }
 
 /// A fault in one slice must not keep back the others.
-void Discovery::tell_one(TargetList slice) try {
+void Discovery::tell_one(EndpointList slice) try {
     slice.revision = telling_->head.revision;
     told_(slice);
 } catch (const std::exception& bad) {
@@ -418,7 +420,7 @@
     ListUpdate::discard(io_, std::exchange(update_, nullptr));
 }
 
-void Discovery::report(MessageId id, const Notice& notice) {
+void Discovery::report(MessageId id, const EndNotice& notice) {
     notices_.insert_or_assign(id, notice);
     post();
 }
@@ -430,9 +432,9 @@
     std::vector<MessageId> sent;
     for (const auto& [id, notice] : notices_) {
         if (sent.size() == kMostNotices) break;
-        Json line{
-            {"ref", cometspoke::settings::id_text(id)}, {"result", notice.bounced ? "bounced" : "dead"}};
-        if (notice.bounced && notice.wait > 0ms) line["wait_ms"] = notice.wait.count();
+        Json line{{"ref", cometspoke::settings::format_message_id(id)},
+            {"result", notice.bounced ? "bounced" : "dead"}};
+        if (notice.bounced && notice.retry_after > 0ms) line["wait_ms"] = notice.retry_after.count();
         body += line.dump() + "\n";
         sent.push_back(id);
     }
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -19,9 +19,9 @@
 
 /// When to call discovery, which answers all forwarders of a fleet in turn: those that start, move or fail
 /// together must not call together, and none may call so late that it breaks the rule on drains.
-class Turns {
+class CallSchedule {
 public:
-    Turns(std::size_t forwarders, std::uint64_t seed);
+    CallSchedule(std::size_t forwarders, std::uint64_t seed);
     /// Before the first call of a process that knows a list,
     std::chrono::milliseconds first();
     /// of one that was told to move to another agent,
@@ -49,17 +49,17 @@
     std::chrono::milliseconds of_all_;  // in which each forwarder of the fleet may call once
 };
 
-class AgentConnection;
+class DiscoveryConnection;
 
 class Discovery {
 public:
     /// A list, or one slice of a long one: what `directory` does not say already, each slice in a turn of its
     /// own. The directory is brought up to it within the call.
-    using Told = std::function<void(const TargetList&)>;
+    using Told = std::function<void(const EndpointList&)>;
     using Confirmed = std::function<void(MessageId)>;
 
-    Discovery(
-        asio::io_context& io, const Config& config, Directory& directory, Told told, Confirmed confirmed);
+    Discovery(asio::io_context& io, const Config& config, EndpointDirectory& directory, Told told,
+        Confirmed confirmed);
     ~Discovery();
 
     /// `held`: the version of the whole list that is known already, if one is; changes are asked for from
@@ -75,7 +75,7 @@
     /// stays.
     void move_to(const Tcp::endpoint& address, bool anew);
     /// Posted until it is answered 204.
-    void report(MessageId id, const Notice& notice);
+    void report(MessageId id, const EndNotice& notice);
     bool all_confirmed() const { return notices_.empty(); }
 
 private:
@@ -87,22 +87,22 @@
     bool watched(const std::string& body);
     void read_piece(std::string_view piece);
     bool read_to_the_end();
-    bool update_by(const TargetList& list);
+    bool update_by(const EndpointList& list);
     void tell(ListReader::Head head);
     void tell_slice();
-    void tell_one(TargetList slice);
+    void tell_one(EndpointList slice);
     void refuse();
     void post();
 
     asio::io_context& io_;
     Tcp::endpoint address_;
-    Directory& directory_;
+    EndpointDirectory& directory_;
     ListLimits limits_;
     Told told_;
     Confirmed confirmed_;
     std::optional<std::int64_t> revision_;  // none where no whole list of this agent is known
-    Turns turns_;
-    std::shared_ptr<AgentConnection> watch_, reports_;
+    CallSchedule turns_;
+    std::shared_ptr<DiscoveryConnection> watch_, reports_;
     asio::steady_timer watch_pause_, report_pause_;
     int watch_failures_ = 0, report_failures_ = 0;
     std::uint64_t stay_ = 0;  // with this agent: pauses of an earlier one end in nothing
@@ -116,7 +116,7 @@
     };
     std::optional<Telling> telling_;  // it has arrived, and is told in slices
     bool watch_waits_ = false;        // for the last of them
-    std::map<MessageId, Notice> notices_;
+    std::map<MessageId, EndNotice> notices_;
 };
 
 }  // namespace lockgw
--- a/src/net/targets.cpp
+++ b/src/net/endpoint_caller.cpp
@@ -1,4 +1,4 @@
-#include "targets.hpp"
+#include "endpoint_caller.hpp"
 
 #include <sys/socket.h>
 
@@ -11,8 +11,8 @@
 #include <optional>
 #include <utility>
 
-#include "answer.hpp"
 #include "http_bytes.hpp"
+#include "response_reader.hpp"
 #include "socket_io.hpp"
 
 namespace lockgw {
@@ -53,15 +53,16 @@
 }
 
 /// Of an attempt in the body of a call with several.
-std::size_t size_in_batch(const Attempt& attempt) {
+std::size_t size_in_batch(const OutgoingAttempt& attempt) {
     constexpr std::size_t names = 64;  // with the id, quotes and commas
     return names + 2 * attempt.key.size() + (attempt.body.size() + 2) / 3 * 4;
 }
 
-std::string batch_of(const std::vector<Attempt>& attempts) {
+std::string batch_of(const std::vector<OutgoingAttempt>& attempts) {
     Json batch = Json::array();
-    for (const Attempt& attempt : attempts) {
-        Json one{{"id", cometspoke::settings::id_text(attempt.message)}, {"body", base64(attempt.body)}};
+    for (const OutgoingAttempt& attempt : attempts) {
+        Json one{
+            {"id", cometspoke::settings::format_message_id(attempt.message)}, {"body", base64(attempt.body)}};
         if (!attempt.key.empty()) one["key"] = attempt.key;
         batch.push_back(std::move(one));
     }
@@ -70,7 +71,7 @@
 
 }  // namespace
 
-class TargetConnection : public std::enable_shared_from_this<TargetConnection> {
+class EndpointConnection : public std::enable_shared_from_this<EndpointConnection> {
     /// Handlers of an earlier call or of a closed connection must not touch the present one.
     template <class Handler>
     auto guarded(Handler handler) {
@@ -80,21 +81,21 @@
     }
 
 public:
-    TargetConnection(Targets& owner, EndpointId endpoint, const Tcp::endpoint& address)
+    EndpointConnection(EndpointCaller& owner, EndpointId endpoint, const Tcp::endpoint& address)
         : owner_(owner), endpoint_(endpoint), address_(address), socket_(owner.io_), timer_(owner.io_) {}
 
     EndpointId endpoint() const { return endpoint_; }
     const Tcp::endpoint& address() const { return address_; }
     Clock::time_point begun() const { return begun_; }
 
-    void start(std::vector<Attempt> attempts) {
+    void start(std::vector<OutgoingAttempt> attempts) {
         begun_ = Clock::now();
         rested_ = socket_.is_open() ? std::optional(begun_ - idle_since_) : std::nullopt;
         ++turn_;
         writing_ = false;
         call_ = std::move(attempts);
         given_up_.assign(call_.size(), std::nullopt);
-        answer_ = Answer(several());
+        answer_ = ResponseReader(several());
         wait_until_.reset();
         if (socket_.is_open()) {
             socket_.cancel();  // the watch over an idle connection
@@ -110,8 +111,8 @@
     void cancel(MessageId message) {
         for (std::size_t i = 0; i < call_.size(); ++i)
             if (call_[i].message == message && !given_up_[i])
-                given_up_[i] = writing_ ? Outcome::CalledOff : Outcome::Withheld;
-        if (!waited_for()) writing_ ? give_up(Outcome::CalledOff) : end(Outcome::CalledOff);
+                given_up_[i] = writing_ ? Outcome::Cancelled : Outcome::Withheld;
+        if (!waited_for()) writing_ ? give_up(Outcome::Cancelled) : end(Outcome::Cancelled);
     }
 
     /// Idle: a target's close is noticed at once, and it is left before the target may close it.
@@ -145,8 +146,8 @@
             const SocketResult result = classify(failed);
             const bool unreachable =
                 result == SocketResult::NoRoute && ++missing_routes_ > kMostMissingRoutes;
-            if (is_local(result) && !unreachable) return connect_later();
-            if (result != SocketResult::Done) return end(Outcome::NoConnection);
+            if (is_local_error(result) && !unreachable) return connect_later();
+            if (result != SocketResult::Done) return end(Outcome::ConnectFailed);
             socket_.set_option(Tcp::no_delay(true), failed);
             socket_.non_blocking(true, failed);
             begin();
@@ -173,7 +174,7 @@
         // the bound or the shortage is our own: it says nothing of the target
         if (!writing_ && (short_of_ || Clock::now() >= begin_by())) return end(Outcome::Withheld);
         // whether its last byte has gone is known to the system sooner than told here
-        writing_ ? give_up(Outcome::NoAnswer) : end(Outcome::NoConnection);
+        writing_ ? give_up(Outcome::TimedOut) : end(Outcome::ConnectFailed);
     }
 
     bool several() const { return call_.size() > 1; }
@@ -182,29 +183,29 @@
     }
     Time longest() const {
         Time longest{0};
-        for (const Attempt& attempt : call_) longest = std::max(longest, attempt.time_out);
+        for (const OutgoingAttempt& attempt : call_) longest = std::max(longest, attempt.timeout);
         return longest;
     }
 
     /// The earliest moment after which one of its messages must not begin any more.
     Clock::time_point begin_by() const {
         auto latest = Clock::time_point::max();
-        for (const Attempt& attempt : call_)
-            if (attempt.begin_within) latest = std::min(latest, begun_ + *attempt.begin_within);
+        for (const OutgoingAttempt& attempt : call_)
+            if (attempt.start_within) latest = std::min(latest, begun_ + *attempt.start_within);
         return latest;
     }
 
     /// The connection is up, perhaps late. Those that may not begin any more leave the others of their call.
     void begin() {
         const bool here = owner_.leads_to(endpoint_, address_);
-        std::vector<Attempt> stay, leave;
+        std::vector<OutgoingAttempt> stay, leave;
         for (std::size_t i = 0; i < call_.size(); ++i) {
             const bool may = here && !given_up_[i] && owner_.begin_(call_[i].message, call_[i].attempt);
             (may ? stay : leave).push_back(std::move(call_[i]));
         }
         call_ = std::move(stay);
         given_up_.assign(call_.size(), std::nullopt);
-        answer_ = Answer(several());
+        answer_ = ResponseReader(several());
         call_.empty() ? owner_.now_idle(shared_from_this()) : write();
         std::vector<OutcomeEvent> told(leave.size());
         for (OutcomeEvent& one : told) one.outcome = Outcome::Withheld;
@@ -222,15 +223,15 @@
         if (several()) {
             request_.body() = batch_of(call_);
         } else {
-            Attempt& only = call_.front();
-            request_.set("X-Call-Id", cometspoke::settings::id_text(only.message));
+            OutgoingAttempt& only = call_.front();
+            request_.set("X-Call-Id", cometspoke::settings::format_message_id(only.message));
             if (!only.key.empty()) request_.set("Idempotency-Key", only.key);
             request_.body() = std::move(only.body);
         }
         request_.content_length(request_.body().size());
         bytes_ = bytes_of(request_);
-        write_whole(socket_, bytes_, guarded([this](auto failed) {
-            if (failed) return end(Outcome::NoConnection);
+        write_all(socket_, bytes_, guarded([this](auto failed) {
+            if (failed) return end(Outcome::ConnectFailed);
             read();
         }));
     }
@@ -246,11 +247,11 @@
         if (read_result.result != SocketResult::Done) return ended();
         const bool first = answer_.empty();
         switch (feed(read_result.count)) {
-            case Answer::State::Whole:
+            case ResponseReader::State::Whole:
                 return finish();
-            case Answer::State::Spoilt:
-                return end(Outcome::Unreadable);
-            case Answer::State::Open:
+            case ResponseReader::State::Spoilt:
+                return end(Outcome::MalformedResponse);
+            case ResponseReader::State::Open:
                 break;
         }
         // An answer that has begun must end soon: it holds a slot, and some never end.
@@ -265,12 +266,12 @@
     }
     /// A wait binds from when it was written, which is now at the latest: the rest may be long in coming, and
     /// the call may have its outcome.
-    Answer::State feed(std::size_t count) {
+    ResponseReader::State feed(std::size_t count) {
         const auto state = answer_.feed({owner_.in_.data(), count});
         const auto wait = answer_.told_wait(longest_wait(owner_.config_));
         if (!wait || wait_until_) return state;
         wait_until_ = Clock::now() + *wait;
-        if (state == Answer::State::Open || call_.empty()) owner_.waits_({endpoint_, *wait});
+        if (state == ResponseReader::State::Open || call_.empty()) owner_.waits_({endpoint_, *wait});
         return state;
     }
     /// By us. An answer that has come meanwhile still tells how it ended; one that crosses this, for how long
@@ -281,10 +282,10 @@
             read_result = read_now(socket_, asio::buffer(owner_.in_));
             if (read_result.result != SocketResult::Done) break;
             const auto state = feed(read_result.count);
-            if (state == Answer::State::Whole) return finish();
-            if (state == Answer::State::Spoilt) break;
+            if (state == ResponseReader::State::Whole) return finish();
+            if (state == ResponseReader::State::Spoilt) break;
         }
-        if (!answer_.empty()) otherwise = Outcome::Unreadable;
+        if (!answer_.empty()) otherwise = Outcome::MalformedResponse;
         const bool crossing = read_result.result == SocketResult::NotReady;
         const auto self = shared_from_this();
         end(otherwise, crossing);
@@ -298,16 +299,16 @@
     }
     /// By the target: that may be the end of an answer which tells no length.
     void ended() {
-        if (answer_.ended() == Answer::State::Whole) return finish();
+        if (answer_.ended() == ResponseReader::State::Whole) return finish();
         if (!call_.empty() && answer_.empty() && rested_) owner_.lost(endpoint_, *rested_);
-        end(answer_.empty() ? Outcome::ConnectionLost : Outcome::Unreadable);
+        end(answer_.empty() ? Outcome::ConnectionLost : Outcome::MalformedResponse);
     }
 
     std::vector<OutcomeEvent> outcomes() const {
-        const bool reports = owner_.config_.reports;
+        const bool reports = owner_.config_.load_reports;
         if (!several()) return {answer_.outcome(reports)};
         std::vector<MessageId> messages;
-        for (const Attempt& attempt : call_) messages.push_back(attempt.message);
+        for (const OutgoingAttempt& attempt : call_) messages.push_back(attempt.message);
         return answer_.outcomes(messages, reports);
     }
     void finish() {
@@ -325,34 +326,35 @@
         for (std::size_t i = 0; i < told.size(); ++i) {
             told[i].outcome = given_up_[i].value_or(otherwise);
             if (!several() && answer_.says_delivered())
-                told[i].outcome = Outcome::Served, told[i].terminal = true;
+                told[i].outcome = Outcome::Delivered, told[i].terminal = true;
         }
         const auto self = shared_from_this();
         crossing ? owner_.finishing(self) : owner_.drop(self);
         deliver(std::move(told));
     }
     void deliver(std::vector<OutcomeEvent> told) { report(std::exchange(call_, {}), std::move(told)); }
-    void report(const std::vector<Attempt>& call, std::vector<OutcomeEvent> told) {
+    void report(const std::vector<OutgoingAttempt>& call, std::vector<OutcomeEvent> told) {
         if (call.empty()) return;
         for (std::size_t i = 0; i < call.size(); ++i) {
             told[i].message = call[i].message;
             told[i].endpoint = call[i].endpoint;
             told[i].attempt = call[i].attempt;
-            if (rested_) told[i].no_connections = false;  // it was let in before: closed for another reason
+            if (rested_)
+                told[i].connection_limit_reached = false;  // it was let in before: closed for another reason
             if (wait_until_)
-                told[i].wait = std::max(Time(0), std::chrono::ceil<Time>(*wait_until_ - Clock::now()));
+                told[i].retry_after = std::max(Time(0), std::chrono::ceil<Time>(*wait_until_ - Clock::now()));
             told[i].rtt = std::chrono::duration_cast<Time>(Clock::now() - begun_);
         }
         owner_.ended(told, call_.empty());
     }
 
-    Targets& owner_;
+    EndpointCaller& owner_;
     EndpointId endpoint_;
     Tcp::endpoint address_;
     Tcp::socket socket_;
     asio::steady_timer timer_;
     std::uint64_t turn_ = 0;
-    std::vector<Attempt> call_;  // until their outcomes are told
+    std::vector<OutgoingAttempt> call_;  // until their outcomes are told
     std::vector<std::optional<Outcome>> given_up_;
     bool writing_ = false;      // the call has begun
     bool half_closed_ = false;  // its call was given up
@@ -363,20 +365,20 @@
     std::optional<Clock::duration> rested_;        // before its call, where it carried one before
     http::request<http::string_body> request_;
     std::string bytes_;  // of the request, while they are written
-    Answer answer_;
+    ResponseReader answer_;
 };
 
-Targets::Targets(asio::io_context& io, const Config& config, std::size_t most_connections, Begin begin,
-    Waits waits, Done done)
+EndpointCaller::EndpointCaller(asio::io_context& io, const Config& config, std::size_t most_connections,
+    Begin begin, Waits waits, Done done)
     : io_(io),
       config_(config),
       most_(most_connections),
       begin_(std::move(begin)),
       waits_(std::move(waits)),
       done_(std::move(done)) {}
-Targets::~Targets() = default;
+EndpointCaller::~EndpointCaller() = default;
 
-void Targets::set_address(EndpointId endpoint, const Tcp::endpoint& address, std::size_t kind) {
+void EndpointCaller::set_address(EndpointId endpoint, const Tcp::endpoint& address, std::size_t kind) {
     const auto [found, fresh] = places_.emplace(endpoint, Place{address, kind});
     found->second.kind = kind;
     if (fresh || found->second.address == address) return;
@@ -384,24 +386,24 @@
     close_idle(endpoint);
 }
 
-bool Targets::leads_to(EndpointId endpoint, const Tcp::endpoint& address) const {
+bool EndpointCaller::leads_to(EndpointId endpoint, const Tcp::endpoint& address) const {
     const auto place = places_.find(endpoint);
     return place != places_.end() && place->second.address == address;
 }
 
 /// Another target may get its address: no connection made to the one that has gone may carry its calls.
-void Targets::forget(EndpointId endpoint) {
+void EndpointCaller::forget(EndpointId endpoint) {
     places_.erase(endpoint);
     close_idle(endpoint);
 }
 
-void Targets::start(std::vector<Attempt> attempts) {
-    std::map<EndpointId, std::vector<Attempt>> calls;  // one for each target that is not full yet
+void EndpointCaller::start(std::vector<OutgoingAttempt> attempts) {
+    std::map<EndpointId, std::vector<OutgoingAttempt>> calls;  // one for each target that is not full yet
     std::map<EndpointId, std::size_t> bytes;
-    for (Attempt& attempt : attempts) {
+    for (OutgoingAttempt& attempt : attempts) {
         const auto place = places_.find(attempt.endpoint);
         const std::size_t most =
-            place != places_.end() ? config_.settings.kinds[place->second.kind].per_call : 1;
+            place != places_.end() ? config_.settings.kinds[place->second.kind].max_messages_per_call : 1;
         const EndpointId endpoint = attempt.endpoint;
         const std::size_t size = size_in_batch(attempt);
         if (bytes[endpoint] + size > kMostBatchBody)
@@ -414,17 +416,17 @@
     for (auto& [endpoint, call] : calls) start_call(std::move(call));
 }
 
-void Targets::start_call(std::vector<Attempt> attempts) {
+void EndpointCaller::start_call(std::vector<OutgoingAttempt> attempts) {
     if (attempts.empty()) return;
     // The other side reckons a call's time by its first message: that must not be over while it is waited
     // for.
     std::stable_sort(attempts.begin(), attempts.end(),
-        [](const Attempt& a, const Attempt& b) { return a.deadline > b.deadline; });
+        [](const OutgoingAttempt& a, const OutgoingAttempt& b) { return a.deadline > b.deadline; });
     const EndpointId endpoint = attempts.front().endpoint;
     Connection connection = take_idle(endpoint);
     const auto place = places_.find(endpoint);
     if (connection) {  // written at once
-        std::erase_if(attempts, [this](const Attempt& attempt) {
+        std::erase_if(attempts, [this](const OutgoingAttempt& attempt) {
             const bool may = begin_(attempt.message, attempt.attempt);
             if (!may) not_sent(attempt, Outcome::Withheld);
             return !may;
@@ -432,18 +434,18 @@
         if (attempts.empty()) return connection->close();
     } else {
         if (place == places_.end() || !make_room()) {
-            for (const Attempt& attempt : attempts) not_sent(attempt, Outcome::Withheld);
+            for (const OutgoingAttempt& attempt : attempts) not_sent(attempt, Outcome::Withheld);
             return;
         }
-        connection = std::make_shared<TargetConnection>(*this, endpoint, place->second.address);
+        connection = std::make_shared<EndpointConnection>(*this, endpoint, place->second.address);
     }
-    for (const Attempt& attempt : attempts)
+    for (const OutgoingAttempt& attempt : attempts)
         attempts_.emplace(std::pair(attempt.message, attempt.attempt), connection);
     ++calls_;
     connection->start(std::move(attempts));
 }
 
-void Targets::not_sent(const Attempt& attempt, Outcome outcome) {
+void EndpointCaller::not_sent(const OutgoingAttempt& attempt, Outcome outcome) {
     OutcomeEvent event;
     event.message = attempt.message;
     event.endpoint = attempt.endpoint;
@@ -452,37 +454,38 @@
     asio::post(io_, [this, event] { done_(event); });
 }
 
-void Targets::cancel(MessageId message, std::uint32_t attempt) {
+void EndpointCaller::cancel(MessageId message, std::uint32_t attempt) {
     const auto found = attempts_.find({message, attempt});
     if (found != attempts_.end()) Connection(found->second)->cancel(message);
 }
 
-void Targets::close_idle(EndpointId endpoint) {
+void EndpointCaller::close_idle(EndpointId endpoint) {
     const auto all = idle_;
     for (const Connection& connection : all)
         if (connection->endpoint() == endpoint) drop(connection);
 }
 
-void Targets::close_all_idle() {
+void EndpointCaller::close_all_idle() {
     for (const Connection& connection : std::exchange(idle_, {})) connection->close();
     for (const Connection& connection : std::exchange(finishing_, {})) connection->close();
 }
 
-std::vector<Targets::Out> Targets::out() const {
-    std::map<const TargetConnection*, Out> calls;
+std::vector<EndpointCaller::ActiveCall> EndpointCaller::active_calls() const {
+    std::map<const EndpointConnection*, ActiveCall> calls;
     for (const auto& [attempt, connection] : attempts_) {
-        Out& call = calls[connection.get()];
+        ActiveCall& call = calls[connection.get()];
         call.endpoint = connection->endpoint();
-        call.begun = connection->begun();
+        call.started_at = connection->begun();
         call.attempts.push_back(attempt);
     }
-    std::vector<Out> all;
+    std::vector<ActiveCall> all;
     for (auto& [connection, call] : calls) all.push_back(std::move(call));
-    std::sort(all.begin(), all.end(), [](const Out& a, const Out& b) { return a.begun < b.begun; });
+    std::sort(all.begin(), all.end(),
+        [](const ActiveCall& a, const ActiveCall& b) { return a.started_at < b.started_at; });
     return all;
 }
 
-Targets::Connection Targets::take_idle(EndpointId endpoint) {
+EndpointCaller::Connection EndpointCaller::take_idle(EndpointId endpoint) {
     while (true) {
         const auto found = std::find_if(idle_.rbegin(), idle_.rend(),
             [endpoint](const Connection& one) { return one->endpoint() == endpoint; });
@@ -494,17 +497,17 @@
     }
 }
 
-Clock::duration Targets::IdleTrust::now(Clock::time_point time) const {
+Clock::duration EndpointCaller::IdleTrust::now(Clock::time_point time) const {
     const auto doubled = (time - at) / kTrustRise;
     const bool whole = span == Clock::duration::max() || doubled >= 20;
     return whole ? Clock::duration::max() : span * (1 << doubled);
 }
-void Targets::IdleTrust::lose(Clock::duration rested, Clock::time_point time) {
+void EndpointCaller::IdleTrust::lose(Clock::duration rested, Clock::time_point time) {
     span = std::min(now(time), std::max<Clock::duration>(kLeastTrust, rested / kTrustFall));
     at = time;
 }
 
-Clock::duration Targets::trusted(EndpointId endpoint) const {
+Clock::duration EndpointCaller::trusted(EndpointId endpoint) const {
     const auto time = Clock::now();
     const auto place = places_.find(endpoint);
     return std::min(
@@ -512,7 +515,7 @@
 }
 
 /// One target's process may have died; where another cuts calls off soon after, it is the way there.
-void Targets::lost(EndpointId endpoint, Clock::duration rested) {
+void EndpointCaller::lost(EndpointId endpoint, Clock::duration rested) {
     if (rested < kLeastTrust) return;
     const auto time = Clock::now();
     if (lost_at_ && lost_last_ != endpoint && time - *lost_at_ < kTrustRise) trust_.lose(rested, time);
@@ -522,26 +525,26 @@
     lost_at_ = time;
 }
 
-void Targets::now_idle(const Connection& connection) {
+void EndpointCaller::now_idle(const Connection& connection) {
     std::erase(finishing_, connection);
     // a tenth before the told limit: a request that crosses the target's close ends as a reset
-    const auto span = config_.settings.conn_idle * 9 / 10;
+    const auto span = config_.settings.connection_idle_limit * 9 / 10;
     if (!leads_to(connection->endpoint(), connection->address()) || span <= Time(0))
         return connection->close();
     idle_.push_back(connection);
     connection->idle_for(span);
 }
 
-void Targets::finishing(const Connection& connection) { finishing_.push_back(connection); }
+void EndpointCaller::finishing(const Connection& connection) { finishing_.push_back(connection); }
 
-void Targets::drop(const Connection& connection) {
+void EndpointCaller::drop(const Connection& connection) {
     std::erase(idle_, connection);
     std::erase(finishing_, connection);
     connection->close();
 }
 
 /// Under the limit of descriptors: an idle connection goes first, then one whose call has its outcome.
-bool Targets::make_room() {
+bool EndpointCaller::make_room() {
     const std::size_t most = most_ - std::min(elsewhere_, most_ / 2);
     if (calls_ + idle_.size() + finishing_.size() < most) return true;
     if (!idle_.empty())
@@ -551,7 +554,7 @@
     return calls_ + idle_.size() + finishing_.size() < most;
 }
 
-void Targets::ended(const std::vector<OutcomeEvent>& outcomes, bool over) {
+void EndpointCaller::ended(const std::vector<OutcomeEvent>& outcomes, bool over) {
     if (over) --calls_;
     for (const OutcomeEvent& outcome : outcomes) attempts_.erase({outcome.message, outcome.attempt});
     for (const OutcomeEvent& outcome : outcomes) done_(outcome);
--- a/src/net/targets.hpp
+++ b/src/net/endpoint_caller.hpp
@@ -20,56 +20,56 @@
 
 using cometspoke::EndpointId;
 
-struct Attempt {
+struct OutgoingAttempt {
     MessageId message = 0;
     EndpointId endpoint = 0;
     std::uint32_t attempt = 0;
     std::string key, body;
-    cometspoke::Time time_out{0};
-    std::optional<cometspoke::Time> begin_within{};  ///< not written at all after that
-    Wall deadline{};                                 ///< of its message
+    cometspoke::Time timeout{0};
+    std::optional<cometspoke::Time> start_within{};  ///< not written at all after that
+    PersistentTime deadline{};                       ///< of its message
 };
 
-class TargetConnection;
+class EndpointConnection;
 
-class Targets {
+class EndpointCaller {
 public:
     using Done = std::function<void(cometspoke::OutcomeEvent)>;
     /// Asked for each message whose call is about to be written, and has it on record that it may run from
     /// here on. Where its connection came up late the decision may be old. What may not begin is Withheld.
     using Begin = std::function<bool(MessageId, std::uint32_t attempt)>;
     /// An answer has told a wait and goes on; the outcome that follows tells what is left of it.
-    using Waits = std::function<void(cometspoke::WaitTold)>;
+    using Waits = std::function<void(cometspoke::RetryAfterEvent)>;
 
-    Targets(asio::io_context& io, const Config& config, std::size_t most_connections, Begin begin,
+    EndpointCaller(asio::io_context& io, const Config& config, std::size_t most_connections, Begin begin,
         Waits waits, Done done);
-    ~Targets();
+    ~EndpointCaller();
 
     /// `kind` as in the settings: it tells how many messages one call to it may carry.
     void set_address(EndpointId endpoint, const Tcp::endpoint& address, std::size_t kind);
     /// Nothing new goes there; calls that are out are waited for.
     void forget(EndpointId endpoint);
     /// All attempts of one turn. Each one's outcome comes by Done, never from within this call.
-    void start(std::vector<Attempt> attempts);
+    void start(std::vector<OutgoingAttempt> attempts);
     /// Its outcome comes once no other message of its call is waited for: a call is given up as a whole.
     void cancel(MessageId message, std::uint32_t attempt);
     void close_idle(EndpointId endpoint);
-    std::size_t most_connections() const { return most_; }
+    std::size_t max_connections() const { return most_; }
     /// So many connections that count here are held by another process.
-    void reserve(std::size_t elsewhere) { elsewhere_ = elsewhere; }
-    std::size_t calls() const { return calls_; }
+    void set_reserved_connections(std::size_t elsewhere) { elsewhere_ = elsewhere; }
+    std::size_t active_call_count() const { return calls_; }
     void close_all_idle();
     /// What is out, by call.
-    struct Out {
+    struct ActiveCall {
         EndpointId endpoint = 0;
-        std::chrono::steady_clock::time_point begun{};
+        std::chrono::steady_clock::time_point started_at{};
         std::vector<std::pair<MessageId, std::uint32_t>> attempts;
     };
-    std::vector<Out> out() const;
+    std::vector<ActiveCall> active_calls() const;
 
 private:
-    friend class TargetConnection;
-    using Connection = std::shared_ptr<TargetConnection>;
+    friend class EndpointConnection;
+    using Connection = std::shared_ptr<EndpointConnection>;
 
     using Clock = std::chrono::steady_clock;
     /// For how long a connection may rest and still be trusted with a call. Some are ended on the way without
@@ -89,8 +89,8 @@
     bool leads_to(EndpointId endpoint, const Tcp::endpoint& address) const;
     Connection take_idle(EndpointId endpoint);
     bool make_room();
-    void start_call(std::vector<Attempt> attempts);
-    void not_sent(const Attempt& attempt, cometspoke::Outcome outcome);
+    void start_call(std::vector<OutgoingAttempt> attempts);
+    void not_sent(const OutgoingAttempt& attempt, cometspoke::Outcome outcome);
     void now_idle(const Connection& connection);
     void finishing(const Connection& connection);
     void drop(const Connection& connection);
--- a/src/net/directory.cpp
+++ b/src/net/endpoint_directory.cpp
@@ -1,4 +1,4 @@
-#include "directory.hpp"
+#include "endpoint_directory.hpp"
 
 #include <utility>
 
@@ -16,26 +16,26 @@
 
 }  // namespace
 
-EndpointId Directory::number_of(const std::string& name) {
+EndpointId EndpointDirectory::id_of(const std::string& name) {
     const auto found = numbers_.find(name);
     if (found != numbers_.end()) return found->second;
-    if (entries_.size() >= kMostTargets) throw cometspoke::settings::BadInput("too many targets");
+    if (entries_.size() >= kMostTargets) throw cometspoke::settings::InvalidInput("too many targets");
     const auto entry = entries_.emplace_hint(entries_.end(), next_, Entry{name});
     numbers_.emplace(entry->second.name, next_);
     return next_++;
 }
 
-std::optional<EndpointId> Directory::find(const std::string& name) const {
+std::optional<EndpointId> EndpointDirectory::find(const std::string& name) const {
     const auto found = numbers_.find(name);
     return found == numbers_.end() ? std::nullopt : std::optional(found->second);
 }
 
-const std::string* Directory::name_of(EndpointId number) const {
+const std::string* EndpointDirectory::name_of(EndpointId number) const {
     const auto found = entries_.find(number);
     return found == entries_.end() ? nullptr : &found->second.name;
 }
 
-void Directory::forget(EndpointId number) {
+void EndpointDirectory::forget(EndpointId number) {
     const auto found = entries_.find(number);
     if (found == entries_.end() || found->second.destination) return;
     remember(found->second.name);
@@ -43,15 +43,15 @@
     entries_.erase(found);
 }
 
-bool Directory::ever_listed(const std::string& name) const {
+bool EndpointDirectory::ever_listed(const std::string& name) const {
     return numbers_.contains(name) || former_.contains(name);
 }
 
-void Directory::remember(const std::string& name) {
+void EndpointDirectory::remember(const std::string& name) {
     if (former_.size() < kMostFormer) former_.insert(name);
 }
 
-void Directory::list(Entry& entry, const Target& target) {
+void EndpointDirectory::list(Entry& entry, const EndpointRecord& target) {
     if (!entry.destination) ++listed_;
     if (entry.destination != target.destination) {
         ++targets_[target.destination];
@@ -66,13 +66,13 @@
     entry.named_in = comparison_;
 }
 
-void Directory::unlist(Entry& entry, Clock::time_point now) {
+void EndpointDirectory::unlist(Entry& entry, Clock::time_point now) {
     if (!entry.destination) return;
     --listed_;
     leave(*std::exchange(entry.destination, std::nullopt), now);
 }
 
-void Directory::leave(std::int64_t destination, Clock::time_point now) {
+void EndpointDirectory::leave(std::int64_t destination, Clock::time_point now) {
     const auto found = targets_.find(destination);
     if (--found->second > 0) return;
     targets_.erase(found);
@@ -80,7 +80,7 @@
     deserted_order_.emplace_back(now, destination);
 }
 
-void Directory::forget_deserted(Clock::time_point now) {
+void EndpointDirectory::forget_deserted(Clock::time_point now) {
     while (!deserted_order_.empty() && deserted_order_.front().first + kDestinationMemory <= now) {
         const auto [since, destination] = deserted_order_.front();
         deserted_order_.pop_front();
@@ -89,15 +89,15 @@
     }
 }
 
-std::set<EndpointId> Directory::listed(const TargetList& told, Clock::time_point now) {
+std::set<EndpointId> EndpointDirectory::apply(const EndpointList& told, Clock::time_point now) {
     std::set<EndpointId> gone;
     if (told.complete)
         for (const auto& [number, entry] : entries_)
             if (entry.destination) gone.insert(gone.end(), number);
-    for (const Target& target : told.targets) {
-        const bool here = target.condition != Condition::Gone;
+    for (const EndpointRecord& target : told.endpoints) {
+        const bool here = target.condition != Condition::Removed;
         if (!here && !numbers_.contains(target.id)) continue;
-        const EndpointId number = number_of(target.id);
+        const EndpointId number = id_of(target.id);
         here ? gone.erase(number) : gone.insert(number).second;
         if (!here) continue;
         Entry& entry = entries_.at(number);
@@ -110,8 +110,8 @@
     return gone;
 }
 
-Target Directory::target_of(const Entry& entry) {
-    Target target;
+EndpointRecord EndpointDirectory::record_of(const Entry& entry) {
+    EndpointRecord target;
     target.id = entry.name;
     target.address = entry.address;
     target.zone = *entry.zone;
@@ -122,23 +122,23 @@
     return target;
 }
 
-std::optional<Target> Directory::target_of(const std::string& name) const {
+std::optional<EndpointRecord> EndpointDirectory::record_of(const std::string& name) const {
     const auto found = numbers_.find(name);
     if (found == numbers_.end()) return std::nullopt;
     const Entry& entry = entries_.at(found->second);
-    return entry.destination ? std::optional(target_of(entry)) : std::nullopt;
+    return entry.destination ? std::optional(record_of(entry)) : std::nullopt;
 }
 
-std::vector<Target> Directory::targets() const {
-    std::vector<Target> all;
+std::vector<EndpointRecord> EndpointDirectory::records() const {
+    std::vector<EndpointRecord> all;
     for (const auto& [number, entry] : entries_)
-        if (entry.destination) all.push_back(target_of(entry));
+        if (entry.destination) all.push_back(record_of(entry));
     return all;
 }
 
-bool Directory::compare(const Target& target) {
+bool EndpointDirectory::compare(const EndpointRecord& target) {
     const auto found = numbers_.find(target.id);
-    const bool gone = target.condition == Condition::Gone;
+    const bool gone = target.condition == Condition::Removed;
     if (found == numbers_.end()) return gone;
     Entry& entry = entries_.at(found->second);
     entry.named_in = comparison_;
@@ -148,20 +148,21 @@
            entry.condition == target.condition;
 }
 
-std::vector<Target> Directory::missing(std::optional<EndpointId>& from, std::size_t count) const {
-    std::vector<Target> gone;
+std::vector<EndpointRecord> EndpointDirectory::missing(
+    std::optional<EndpointId>& from, std::size_t count) const {
+    std::vector<EndpointRecord> gone;
     auto at = entries_.lower_bound(*from);
     for (; at != entries_.end() && count > 0; ++at, --count) {
         if (!at->second.destination || at->second.named_in == comparison_) continue;
-        Target target = target_of(at->second);
-        target.condition = Condition::Gone;
+        EndpointRecord target = record_of(at->second);
+        target.condition = Condition::Removed;
         gone.push_back(std::move(target));
     }
     from = at == entries_.end() ? std::nullopt : std::optional(at->first);
     return gone;
 }
 
-bool Directory::has(std::int64_t destination, Clock::time_point now) const {
+bool EndpointDirectory::has_destination(std::int64_t destination, Clock::time_point now) const {
     if (targets_.contains(destination)) return true;
     const auto found = deserted_.find(destination);
     return found != deserted_.end() && found->second + kDestinationMemory > now;
--- a/src/net/directory.hpp
+++ b/src/net/endpoint_directory.hpp
@@ -12,46 +12,46 @@
 #include <utility>
 #include <vector>
 
-#include "target_list.hpp"
+#include "endpoint_list.hpp"
 
 namespace lockgw {
 
-class Directory {
+class EndpointDirectory {
 public:
     using Clock = std::chrono::steady_clock;
 
     /// The target's number, a new one where it has none. Numbers are never used twice: an outcome of a target
     /// that has gone must not count for another.
-    cometspoke::EndpointId number_of(const std::string& name);
+    cometspoke::EndpointId id_of(const std::string& name);
     std::optional<cometspoke::EndpointId> find(const std::string& name) const;
     const std::string* name_of(cometspoke::EndpointId number) const;
     void forget(cometspoke::EndpointId number);
     /// Some list has named it, also where it has gone or was passed over.
     bool ever_listed(const std::string& name) const;
     void remember(const std::string& name);
-    const std::set<std::string>& former() const { return former_; }
+    const std::set<std::string>& former_names() const { return former_; }
 
     /// Takes what discovery tells; returns the numbers of those that are no longer listed.
-    std::set<cometspoke::EndpointId> listed(const TargetList& told, Clock::time_point now);
+    std::set<cometspoke::EndpointId> apply(const EndpointList& told, Clock::time_point now);
     /// How many are listed.
     std::size_t size() const { return listed_; }
     /// As it is listed; none where it is not.
-    std::optional<Target> target_of(const std::string& name) const;
+    std::optional<EndpointRecord> record_of(const std::string& name) const;
     /// All that are listed.
-    std::vector<Target> targets() const;
+    std::vector<EndpointRecord> records() const;
 
     /// A list begins to arrive that has not been told yet.
     void begin_comparison() { ++comparison_; }
     /// Whether an entry of that list says what is listed already.
-    bool compare(const Target& target);
+    bool compare(const EndpointRecord& target);
     /// Targets that are listed and that it has not named, looked for among `count` numbers from `from` on, as
     /// gone. `from` moves on, and is none once all numbers have been looked at.
-    std::vector<Target> missing(std::optional<cometspoke::EndpointId>& from, std::size_t count) const;
+    std::vector<EndpointRecord> missing(std::optional<cometspoke::EndpointId>& from, std::size_t count) const;
 
     /// Whether a message for it makes sense: it has targets, or had some not long ago.
-    bool has(std::int64_t destination, Clock::time_point now) const;
+    bool has_destination(std::int64_t destination, Clock::time_point now) const;
     /// No list has named any target so far.
-    bool blank() const { return targets_.empty() && deserted_.empty(); }
+    bool empty() const { return targets_.empty() && deserted_.empty(); }
 
 private:
     /// Short: there may be hundreds of thousands.
@@ -62,15 +62,15 @@
         const std::string* zone = nullptr;  // one of texts_
         const std::string* kind = nullptr;
         double rate = 0.0;
-        cometspoke::Condition condition = cometspoke::Condition::Gone;
+        cometspoke::Condition condition = cometspoke::Condition::Removed;
         std::uint32_t named_in = 0;  // the last comparison that named it
     };
 
-    void list(Entry& entry, const Target& target);
+    void list(Entry& entry, const EndpointRecord& target);
     void unlist(Entry& entry, Clock::time_point now);
     void leave(std::int64_t destination, Clock::time_point now);
     void forget_deserted(Clock::time_point now);
-    static Target target_of(const Entry& entry);
+    static EndpointRecord record_of(const Entry& entry);
 
     std::map<std::string_view, cometspoke::EndpointId> numbers_;  // by the names in entries_
     std::map<cometspoke::EndpointId, Entry> entries_;
--- a/src/net/target_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "target_list.hpp"
+#include "endpoint_list.hpp"
 
 #include <algorithm>
 #include <iostream>
@@ -6,9 +6,9 @@
 namespace lockgw {
 
 using cometspoke::Condition;
-using cometspoke::settings::BadInput;
-using cometspoke::settings::field;
-using cometspoke::settings::need;
+using cometspoke::settings::InvalidInput;
+using cometspoke::settings::require_field;
+using cometspoke::settings::required_value;
 using cometspoke::settings::value_or;
 
 namespace {
@@ -27,7 +27,7 @@
 
 Condition condition_of(const std::string& phase) {
     if (phase == "in_service") return Condition::Ready;
-    return phase == "terminating" ? Condition::Draining : Condition::Gone;
+    return phase == "terminating" ? Condition::Draining : Condition::Removed;
 }
 
 }  // namespace
@@ -40,41 +40,41 @@
     return limits;
 }
 
-Target target_of(const Json& member) {
-    Target target;
-    target.id = field<std::string>(member, "id");
-    target.condition = condition_of(field<std::string>(member, "phase"));
+EndpointRecord parse_endpoint(const Json& member) {
+    EndpointRecord target;
+    target.id = required_value<std::string>(member, "id");
+    target.condition = condition_of(required_value<std::string>(member, "phase"));
     // that a target goes must be heeded even where its address makes no sense any more
     if (target.condition == Condition::Ready)
-        target.address = tcp_endpoint(field<std::string>(member, "host_port"), "host_port");
+        target.address = tcp_endpoint(required_value<std::string>(member, "host_port"), "host_port");
     target.zone = value_or<std::string>(member, "locality", "");
     target.kind = value_or<std::string>(member, "flavor", "");
-    target.destination = field<std::int64_t>(member, "cell");
+    target.destination = required_value<std::int64_t>(member, "cell");
     target.rate = value_or(member, "size", 0.0);
     return target;
 }
 
-std::optional<Target> gone_target_of(const Json& member) {
+std::optional<EndpointRecord> parse_removed_endpoint(const Json& member) {
     if (!member.is_object() || !member.contains("id") || !member["id"].is_string()) return std::nullopt;
-    Target target;
+    EndpointRecord target;
     target.id = member["id"].get<std::string>();
     return target;
 }
 
-TargetList list_of(const Json& body, std::size_t most_entries) {
-    TargetList list;
-    list.revision = field<std::int64_t>(body, "revision");
-    list.complete = field<bool>(body, "complete");
-    const Json& members = need(body, "members");
-    if (!members.is_array()) throw BadInput("members is not a list");
+EndpointList parse_endpoint_list(const Json& body, std::size_t most_entries) {
+    EndpointList list;
+    list.revision = required_value<std::int64_t>(body, "revision");
+    list.complete = required_value<bool>(body, "complete");
+    const Json& members = require_field(body, "members");
+    if (!members.is_array()) throw InvalidInput("members is not a list");
     if (members.size() > most_entries)
-        throw BadInput("more than " + std::to_string(most_entries) + " entries");
+        throw InvalidInput("more than " + std::to_string(most_entries) + " entries");
     for (const Json& member : members) try {
-            list.targets.push_back(target_of(member));
+            list.endpoints.push_back(parse_endpoint(member));
         } catch (const std::exception& bad) {
             std::cerr << "discovery: passed over an entry: " << bad.what() << '\n';
-            list.all_read = false;
-            if (auto gone = gone_target_of(member)) list.targets.push_back(std::move(*gone));
+            list.all_entries_valid = false;
+            if (auto gone = parse_removed_endpoint(member)) list.endpoints.push_back(std::move(*gone));
         }
     return list;
 }
--- a/src/net/target_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -11,21 +11,21 @@
 
 namespace lockgw {
 
-struct Target {
+struct EndpointRecord {
     std::string id;
     Tcp::endpoint address;
     std::string zone, kind;
     std::int64_t destination = 0;
     double rate = 0.0;
-    cometspoke::Condition condition = cometspoke::Condition::Gone;
+    cometspoke::Condition condition = cometspoke::Condition::Removed;
 };
 /// A list as it was told, or one slice of a long one.
-struct TargetList {
+struct EndpointList {
     std::int64_t revision = 0;
     bool complete = false;
-    std::vector<Target> targets;
-    bool all_read = true;  ///< each entry made sense
-    bool more = false;     ///< further slices of the same list follow
+    std::vector<EndpointRecord> endpoints;
+    bool all_entries_valid = true;  ///< each entry made sense
+    bool has_more_batches = false;  ///< further slices of the same list follow
 };
 
 /// What the limits of the configuration allow a list to hold.
@@ -35,13 +35,13 @@
 };
 ListLimits list_limits(std::size_t memory_bytes, std::size_t descriptors);
 
-/// One entry; throws BadInput or a JSON error where it makes no sense.
-Target target_of(const Json& member);
+/// One entry; throws InvalidInput or a JSON error where it makes no sense.
+EndpointRecord parse_endpoint(const Json& member);
 /// What stands for an entry that makes no sense: a target that has gone, as far as its id can be read. Its
 /// revision counts as told, and it would never be sent again.
-std::optional<Target> gone_target_of(const Json& member);
+std::optional<EndpointRecord> parse_removed_endpoint(const Json& member);
 
-/// Throws BadInput or a JSON error where it is no list.
-TargetList list_of(const Json& body, std::size_t most_entries);
+/// Throws InvalidInput or a JSON error where it is no list.
+EndpointList parse_endpoint_list(const Json& body, std::size_t most_entries);
 
 }  // namespace lockgw
--- a/src/net/event_log.hpp
+++ b/src/net/event_log.hpp
@@ -16,7 +16,7 @@
 
 namespace lockgw {
 
-enum class MessageStep { TakenOn, Refused, Begun, Outcome, Ended, Told, Recovered };
+enum class MessageStep { Accepted, Refused, AttemptStarted, AttemptEnded, Ended, NoticeConfirmed, Recovered };
 
 class EventLog {
 public:
--- a/src/net/file_io.cpp
+++ b/src/net/file_io.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-int open_uninterrupted(const std::filesystem::path& path, int flags, unsigned mode) {
+int open_retrying_interrupts(const std::filesystem::path& path, int flags, unsigned mode) {
     while (true) {
         const int fd = ::open(path.c_str(), flags | O_CLOEXEC, mode);
         if (fd >= 0 || errno != EINTR) return fd;
@@ -31,7 +31,7 @@
 
 FileContents read_file(const std::filesystem::path& path) {
     FileContents file;
-    const int fd = open_uninterrupted(path, O_RDONLY);
+    const int fd = open_retrying_interrupts(path, O_RDONLY);
     if (fd < 0) {
         file.error = last_error();
         return file;
@@ -54,12 +54,12 @@
 FileContents read_file_with_retries(const std::filesystem::path& path) {
     for (int attempt = 1;; ++attempt) {
         FileContents file = read_file(path);
-        if (!file.error || !may_pass(file.error) || attempt == kReadAttempts) return file;
+        if (!file.error || !is_transient(file.error) || attempt == kReadAttempts) return file;
         std::this_thread::sleep_for(kReadPause);
     }
 }
 
-std::error_code write_whole(int fd, std::string_view bytes) {
+std::error_code write_all(int fd, std::string_view bytes) {
     while (!bytes.empty()) {
         const ssize_t count = ::write(fd, bytes.data(), bytes.size());
         if (count < 0 && errno == EINTR) continue;
--- a/src/net/file_io.hpp
+++ b/src/net/file_io.hpp
@@ -19,9 +19,9 @@
 FileContents read_file_with_retries(const std::filesystem::path& path);
 
 /// Writes all bytes; interruptions and short writes are gone over.
-std::error_code write_whole(int fd, std::string_view bytes);
+std::error_code write_all(int fd, std::string_view bytes);
 
 /// open(2), gone on with after an interruption.
-int open_uninterrupted(const std::filesystem::path& path, int flags, unsigned mode = 0);
+int open_retrying_interrupts(const std::filesystem::path& path, int flags, unsigned mode = 0);
 
 }  // namespace lockgw
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -35,24 +35,24 @@
 Time now() { return std::chrono::duration_cast<Time>(std::chrono::steady_clock::now().time_since_epoch()); }
 
 std::size_t other_descriptors(const Config& config) {
-    return std::clamp(config.sockets / 3, kLeastOther, kMostOther);
+    return std::clamp(config.max_descriptors / 3, kLeastOther, kMostOther);
 }
 /// As many as there are calls out, and some that rest between calls; never more than clients leave.
 std::size_t most_target_connections(const Config& config) {
-    const std::size_t wanted = std::max(config.sockets / 4, config.settings.slots * 3 / 2);
-    return std::min(wanted, (config.sockets - other_descriptors(config)) / 2);
+    const std::size_t wanted = std::max(config.max_descriptors / 4, config.settings.max_calls * 3 / 2);
+    return std::min(wanted, (config.max_descriptors - other_descriptors(config)) / 2);
 }
 std::size_t most_client_connections(const Config& config) {
-    return config.sockets - most_target_connections(config) - other_descriptors(config);
+    return config.max_descriptors - most_target_connections(config) - other_descriptors(config);
 }
 
 std::size_t most_entries(const Config& config) {
-    return list_limits(config.memory_bytes, config.sockets).entries;
+    return list_limits(config.memory_bytes, config.max_descriptors).entries;
 }
 
 /// The module must not count on more calls than there are descriptors for.
 Config within_descriptors(Config config) {
-    config.settings.slots = std::min(config.settings.slots, most_target_connections(config));
+    config.settings.max_calls = std::min(config.settings.max_calls, most_target_connections(config));
     return config;
 }
 
@@ -69,7 +69,7 @@
 
 // What two processes tell each other.
 
-Json member_of(const Target& target) {
+Json member_of(const EndpointRecord& target) {
     const char* phase = target.condition == Condition::Ready ? "in_service" : "terminating";
     return {{"id", target.id}, {"host_port", text_of(target.address)}, {"locality", target.zone},
         {"flavor", target.kind}, {"cell", target.destination}, {"phase", phase}, {"size", target.rate}};
@@ -77,8 +77,8 @@
 Json note_of(const OutcomeEvent& event) {
     Json told{{"message", event.message}, {"attempt", event.attempt},
         {"outcome", static_cast<int>(event.outcome)}, {"terminal", event.terminal},
-        {"rtt_us", event.rtt.count()}, {"wait_us", event.wait.count()}};
-    if (event.report) told["report"] = {event.report->left, event.report->limit};
+        {"rtt_us", event.rtt.count()}, {"wait_us", event.retry_after.count()}};
+    if (event.report) told["report"] = {event.report->remaining_share, event.report->limit_per_s};
     return {{"outcome", told}};
 }
 OutcomeEvent outcome_of(const Json& told) {
@@ -88,45 +88,46 @@
     event.outcome = static_cast<Outcome>(told.at("outcome").get<int>());
     event.terminal = told.at("terminal").get<bool>();
     event.rtt = Time(told.at("rtt_us").get<std::int64_t>());
-    event.wait = Time(told.at("wait_us").get<std::int64_t>());
+    event.retry_after = Time(told.at("wait_us").get<std::int64_t>());
     if (told.contains("report"))
         event.report = LoadReport{told["report"].at(0).get<double>(), told["report"].at(1).get<double>()};
     return event;
 }
 /// As the journal keeps it: its texts may hold any bytes, and its class goes along.
 Json note_of(const Message& message) {
-    const std::string record = record_of(message);
+    const std::string record = serialize_message(message);
     return {{"enqueue", Json::binary({record.begin(), record.end()})}};
 }
 Message message_of(const Json& told) {
     const auto& bytes = told.get_binary();
-    return message_of_record({reinterpret_cast<const char*>(bytes.data()), bytes.size()});
+    return parse_message_record({reinterpret_cast<const char*>(bytes.data()), bytes.size()});
 }
 Json note_of(std::uint64_t number, const OperatorCall& call) {
-    return {{"operate", {{"number", number}, {"order", static_cast<int>(call.order)}, {"who", call.who}}}};
+    return {
+        {"operate", {{"number", number}, {"order", static_cast<int>(call.command)}, {"who", call.endpoint}}}};
 }
 
 const Json kReload{{"reload", true}};
 
 std::string_view name_of(Outcome outcome) {
     switch (outcome) {
-        case Outcome::Served:
+        case Outcome::Delivered:
             return "served";
         case Outcome::ServerError:
             return "server_error";
-        case Outcome::TurnedAway:
+        case Outcome::Rejected:
             return "turned_away";
-        case Outcome::NoAnswer:
+        case Outcome::TimedOut:
             return "no_answer";
-        case Outcome::NoConnection:
+        case Outcome::ConnectFailed:
             return "no_connection";
         case Outcome::ConnectionLost:
             return "connection_lost";
-        case Outcome::CalledOff:
+        case Outcome::Cancelled:
             return "called_off";
         case Outcome::NotSent:
             return "not_sent";
-        case Outcome::Unreadable:
+        case Outcome::MalformedResponse:
             return "unreadable";
         case Outcome::Withheld:
             return "withheld";
@@ -141,7 +142,7 @@
 }
 
 bool proves_never_ran(Outcome outcome) {
-    return outcome == Outcome::TurnedAway || outcome == Outcome::NoConnection || outcome == Outcome::NotSent;
+    return outcome == Outcome::Rejected || outcome == Outcome::ConnectFailed || outcome == Outcome::NotSent;
 }
 
 }  // namespace
@@ -154,32 +155,32 @@
           io, config_, most_target_connections(config_),
           [this](MessageId id, std::uint32_t attempt) {
               // where another process decides, it may have been told what is not known here
-              return role_ == Role::Owner && sender_.may_begin(id, attempt, now()) &&
-                     journal_->write_attempt(id);
+              return role_ == Role::Owner && sender_.may_start(id, attempt, now()) &&
+                     journal_->mark_attempt_written(id);
           },
-          [this](const WaitTold& told) { observe(told); },
+          [this](const RetryAfterEvent& told) { observe(told); },
           [this](const OutcomeEvent& event) { outcome(event); }),
       discovery_(
           io, config_, directory_,
-          [this](const TargetList& told) {
-              if (!told.more) whole_list_ = true;  // changes build on one
-              list(told, told.complete ? ListKind::Full : ListKind::Changes);
+          [this](const EndpointList& told) {
+              if (!told.has_more_batches) whole_list_ = true;  // changes build on one
+              list(told, told.complete ? ListUpdateKind::Full : ListUpdateKind::Delta);
           },
           [this](MessageId id) {
               if (role_ != Role::Owner) return;  // another process tells it again: that does no harm
-              log_.message(MessageStep::Told, id);
-              on_record(journal_->confirmed(id));
+              log_.message(MessageStep::NoticeConfirmed, id);
+              on_record(journal_->confirm_notice(id));
               stop_if_done();
           }),
-      peers_(io, config_, [this](const PeerNote& note) { observe(note); }),
+      peers_(io, config_, [this](const PeerMessage& note) { observe(note); }),
       clients_(
           io, config_, clock_, most_client_connections(config_),
-          [this](Message message, Time left, Clients::Answer answer) {
+          [this](Message message, Time left, ClientServer::Reply answer) {
               enqueue(std::move(message), left, std::move(answer));
           },
           [this] { asio::post(io_, [this] { stop_if_done(); }); }),
       management_(
-          io, [this](const OperatorCall& call, const Management::Answer& answer) { operate(call, answer); }),
+          io, [this](const OperatorCall& call, const Management::Reply& answer) { operate(call, answer); }),
       handover_(io, config_.state, handover_steps()),
       timer_(io),
       send_off_(io),
@@ -218,10 +219,10 @@
     role_ = Role::Owner;
     std::optional<std::int64_t> held;
     try {
-        const TargetList known = list_of(config_.known, most_entries(config_));
-        list(known, ListKind::Cached);
+        const EndpointList known = parse_endpoint_list(config_.known_list, most_entries(config_));
+        list(known, ListUpdateKind::Cached);
         // an entry that could not be read is not known: then the whole list is asked for
-        if (known.complete && known.all_read) held = known.revision;
+        if (known.complete && known.all_entries_valid) held = known.revision;
     } catch (const std::exception& bad) {
         std::cerr << "config: no known list: " << bad.what() << '\n';
     }
@@ -244,10 +245,10 @@
     const auto time = std::chrono::steady_clock::now();
     const bool tried_long = unreadable_since_ && time - *unreadable_since_ >= kUnreadableFor;
     journal_.emplace(config_.state, config_.disk_bytes,
-        tried_long ? Journal::Unreadable::KeepAside : Journal::Unreadable::Throw);
+        tried_long ? Journal::OnReadError::KeepAside : Journal::OnReadError::Throw);
     unreadable_since_.reset();
     clock_ = journal_->clock();
-} catch (const UnreadableJournal&) {
+} catch (const JournalReadError&) {
     if (!unreadable_since_) unreadable_since_ = std::chrono::steady_clock::now();
     close_after_failed_start();
     throw;
@@ -259,46 +260,47 @@
 
 void Forwarder::close_after_failed_start() {
     journal_.reset();
-    if (!config_.inherited) clients_.close_listener();
+    if (!config_.inherited_listener) clients_.close_listener();
 }
 
 /// Each part by itself: whatever one of them holds, the journal's messages must be taken up.
-void Forwarder::adopt(const Json& offer, const std::vector<Targets::Out>& out) {
+void Forwarder::adopt(const Json& offer, const std::vector<EndpointCaller::ActiveCall>& out) {
     std::set<AttemptId> attempts;
-    for (const Targets::Out& call : out) attempts.insert(call.attempts.begin(), call.attempts.end());
+    for (const EndpointCaller::ActiveCall& call : out)
+        attempts.insert(call.attempts.begin(), call.attempts.end());
     guarded([&] {
         for (const Json& name : offer.at("former")) directory_.remember(name.get<std::string>());
         const bool handed_over = offer.contains("list");
         if (handed_over) whole_list_ = offer.at("whole").get<bool>();
-        list(handed_over ? list_of(offer["list"], most_entries(config_))
-                         : TargetList{0, true, directory_.targets()},
-            ListKind::Cached);
+        list(handed_over ? parse_endpoint_list(offer["list"], most_entries(config_))
+                         : EndpointList{0, true, directory_.records()},
+            ListUpdateKind::Cached);
     });
     take_up(attempts);
     guarded([&] { learn(offer.at("learned")); });
     hand_calls_on(out);
 }
 
-void Forwarder::hand_calls_on(const std::vector<Targets::Out>& out) {
+void Forwarder::hand_calls_on(const std::vector<EndpointCaller::ActiveCall>& out) {
     const auto time = std::chrono::steady_clock::now();
-    for (const Targets::Out& call : out)
+    for (const EndpointCaller::ActiveCall& call : out)
         guarded([&] {
-            observe(CallHandedOn{
-                call.endpoint, std::chrono::duration_cast<Time>(time - call.begun), call.attempts});
+            observe(InheritedCall{
+                call.endpoint, std::chrono::duration_cast<Time>(time - call.started_at), call.attempts});
         });
 }
 
 /// The calls that the process before has out, under the numbers that their targets have here.
-std::vector<Targets::Out> Forwarder::out_elsewhere(const Json& calls) {
+std::vector<EndpointCaller::ActiveCall> Forwarder::out_elsewhere(const Json& calls) {
     const auto time = std::chrono::steady_clock::now();
-    std::vector<Targets::Out> all;
+    std::vector<EndpointCaller::ActiveCall> all;
     for (const Json& call : calls) {
-        Targets::Out out;
-        out.endpoint = directory_.number_of(call.at("target").get<std::string>());
-        out.begun = time - Time(call.at("age_us").get<std::int64_t>());
+        EndpointCaller::ActiveCall out;
+        out.endpoint = directory_.id_of(call.at("target").get<std::string>());
+        out.started_at = time - Time(call.at("age_us").get<std::int64_t>());
         for (const Json& attempt : call.at("attempts")) {
             out.attempts.emplace_back(attempt.at(0).get<MessageId>(), attempt.at(1).get<std::uint32_t>());
-            elsewhere_.emplace(out.attempts.back(), Elsewhere{out.endpoint, out.begun});
+            elsewhere_.emplace(out.attempts.back(), Elsewhere{out.endpoint, out.started_at});
         }
         all.push_back(std::move(out));
     }
@@ -314,20 +316,20 @@
             {"attempts", attempts}});
         told.insert(attempts.begin(), attempts.end());
     };
-    for (const Targets::Out& call : targets_.out())
+    for (const EndpointCaller::ActiveCall& call : targets_.active_calls())
         if (const std::string* name = directory_.name_of(call.endpoint))
-            add(*name, time - call.begun, call.attempts);
+            add(*name, time - call.started_at, call.attempts);
     // begun and not sent: the outcome waits for its turn in the loop
     for (const auto& [id, entry] : journal_->entries())
-        if (entry.out && entry.attempts > 0 && !told.contains({id, entry.attempts - 1}))
-            add(entry.out->target, Time(0), {{id, entry.attempts - 1}});
+        if (entry.open_attempt && entry.attempts > 0 && !told.contains({id, entry.attempts - 1}))
+            add(entry.open_attempt->endpoint, Time(0), {{id, entry.attempts - 1}});
     return calls;
 }
 
 Json Forwarder::learned() const {
     Json all = Json::array();
-    for (const Learned& one : sender_.learned(now())) {
-        Json line{{"figures", one.figures}};
+    for (const LearnedState& one : sender_.learned_state(now())) {
+        Json line{{"figures", one.values}};
         if (one.destination) line["destination"] = *one.destination;
         if (one.endpoint) {
             const std::string* name = directory_.name_of(*one.endpoint);
@@ -340,8 +342,8 @@
 }
 void Forwarder::learn(const Json& learned) {
     for (const Json& line : learned) {
-        Learned one;
-        one.figures = line.at("figures").get<std::map<std::string, double>>();
+        LearnedState one;
+        one.values = line.at("figures").get<std::map<std::string, double>>();
         if (line.contains("destination")) one.destination = line["destination"].get<std::int64_t>();
         if (line.contains("target")) {
             one.endpoint = directory_.find(line["target"].get<std::string>());
@@ -359,7 +361,7 @@
     clients_.pause();
     discovery_.suspend();
     const bool few = directory_.size() <= kMostHandedOver;
-    offer_ = {{"former", directory_.former()}, {"whole", whole_list_},
+    offer_ = {{"former", directory_.former_names()}, {"whole", whole_list_},
         {"learned", few ? learned() : Json::array()}, {"calls", calls_out()}, {"drained", drained_}};
     if (few) offer_["list"] = {{"revision", 0}, {"complete", true}, {"members", members()}};
     return offer_;
@@ -367,17 +369,17 @@
 
 Json Forwarder::members() const {
     Json all = Json::array();
-    for (const Target& target : directory_.targets()) all.push_back(member_of(target));
+    for (const EndpointRecord& target : directory_.records()) all.push_back(member_of(target));
     return all;
 }
 
 void Forwarder::let_go() {
-    if (!journal_->catch_up()) std::cerr << "handover: the journal lacks what could not be written\n";
+    if (!journal_->write_pending()) std::cerr << "handover: the journal lacks what could not be written\n";
     unkept_ends_.clear();  // the other process finds them ended, or ends them
     journal_.reset();
     discovery_.forget_notices();
     peers_.stop();
-    clients_.leave();
+    clients_.hand_over_clients();
     targets_.close_all_idle();
 }
 
@@ -401,7 +403,8 @@
 /// The two count as one: the new owner leaves room for what is still held here.
 void Forwarder::tell_held() {
     if (role_ != Role::Released) return;
-    handover_.tell({{"held", {{"clients", clients_.count()}, {"calls", targets_.calls()}}}});
+    handover_.tell(
+        {{"held", {{"clients", clients_.connection_count()}, {"calls", targets_.active_call_count()}}}});
     stop_if_done();
     held_pause_.expires_after(kTellHeld);
     held_pause_.async_wait([this](auto cancelled) {
@@ -425,10 +428,10 @@
         sender_ = Sender(config_.settings, config_.seed);
         role_ = Role::Owner;
         outcomes_.clear();
-        adopt(offer_, targets_.out());
+        adopt(offer_, targets_.active_calls());
         guarded([this] { peers_.start(); });
     }
-    if (!drained_ && !finishing_) clients_.send_off(false);
+    if (!drained_ && !finishing_) clients_.set_closing_between_requests(false);
     discovery_.resume();
     guarded([this] { clients_.resume(); });
     if (finishing_ && finish_step_.expiry() <= std::chrono::steady_clock::now()) clients_.drain();
@@ -465,8 +468,9 @@
     } else if (note.contains("operate")) {
         const Json& told = note["operate"];
         const auto number = told.at("number").get<std::uint64_t>();
-        operate({static_cast<Order>(told.at("order").get<int>()), told.at("who").get<std::string>()},
-            [this, number](const Verdict& verdict) {
+        operate(
+            {static_cast<OperatorCommand>(told.at("order").get<int>()), told.at("who").get<std::string>()},
+            [this, number](const OperatorReply& verdict) {
                 handover_.tell({{"verdict", {{"number", number}, {"status", static_cast<int>(verdict.status)},
                                                 {"text", verdict.text}}}});
             });
@@ -481,22 +485,22 @@
     } else if (note.contains("cancel")) {
         targets_.cancel(note["cancel"].at(0).get<MessageId>(), note["cancel"].at(1).get<std::uint32_t>());
     } else if (note.contains("held")) {
-        clients_.reserve(note["held"].at("clients").get<std::size_t>());
-        targets_.reserve(note["held"].at("calls").get<std::size_t>());
+        clients_.set_reserved_connections(note["held"].at("clients").get<std::size_t>());
+        targets_.set_reserved_connections(note["held"].at("calls").get<std::size_t>());
     }
 }
 
 /// Its connections have ended with it: a call that was out may have run.
 void Forwarder::predecessor_left() {
     std::cerr << "handover: the process before has ended\n";
-    clients_.reserve(0);
-    targets_.reserve(0);
+    clients_.set_reserved_connections(0);
+    targets_.set_reserved_connections(0);
     for (const auto& [attempt, call] : std::exchange(elsewhere_, {})) {
         OutcomeEvent event;
         event.message = attempt.first;
         event.attempt = attempt.second;
         event.endpoint = call.endpoint;
-        event.outcome = Outcome::CalledOff;  // it says nothing of the target
+        event.outcome = Outcome::Cancelled;  // it says nothing of the target
         event.rtt = std::chrono::duration_cast<Time>(std::chrono::steady_clock::now() - call.begun);
         outcome(event);
     }
@@ -511,16 +515,16 @@
     if (kind != config_.names.classes.end())
         event.message_class = kind->second;
     else
-        event.terms = message.terms;
-    return kind != config_.names.classes.end() || event.terms;
+        event.class_settings = message.class_settings;
+    return kind != config_.names.classes.end() || event.class_settings;
 }
 
 /// What an earlier process owed is owed still, with what it knew of each attempt.
 void Forwarder::take_up(const std::set<AttemptId>& out) {
-    const Wall wall = clock_.now();
-    const auto over = journal_->over();
+    const PersistentTime wall = clock_.now();
+    const auto over = journal_->ended_ids();
     for (const auto& [until, id] : over) remember(id, until);
-    for (const Entry* entry : journal_->in_order()) {
+    for (const JournalEntry* entry : journal_->entries_by_arrival()) {
         const Message& message = entry->message;
         log_.message(
             MessageStep::Recovered, message.id, entry->notice ? "ended" : "held", {}, entry->attempts);
@@ -531,43 +535,44 @@
             continue;
         }
         MessageEvent event;
-        event.terms = message.terms;
+        event.class_settings = message.class_settings;
         if (!name_class(message, event)) {  // it has gone, and the entry is of a version that kept no terms
             end(message.id, {});
             continue;
         }
         event.message = message.id;
         event.destination = message.destination;
-        event.left = message.deadline - wall;
+        event.time_left = message.deadline - wall;
         event.attempts = entry->attempts;
         const bool is_out = entry->attempts > 0 && out.contains({message.id, entry->attempts - 1});
-        if (const auto first = is_out ? entry->doubt : entry->may_have_run())
-            event.doubt = MessageEvent::Doubt{wall - first->since, directory_.number_of(first->target)};
+        if (const auto first = is_out ? entry->ambiguous_attempt : entry->first_possible_run())
+            event.ambiguous_attempt =
+                MessageEvent::AmbiguousAttempt{wall - first->since, directory_.id_of(first->endpoint)};
         observe(event);
     }
 }
 
-void Forwarder::list(TargetList told, ListKind kind) {
-    for (Target& target : told.targets) {
+void Forwarder::list(EndpointList told, ListUpdateKind kind) {
+    for (EndpointRecord& target : told.endpoints) {
         const bool known = (target.zone.empty() || config_.names.zones.contains(target.zone)) &&
                            (target.kind.empty() || config_.names.kinds.contains(target.kind));
         if (!known) {
             std::cerr << "discovery: passed over " << plain(target.id) << " of an unknown kind or place\n";
             directory_.remember(target.id);
-            target.condition = Condition::Gone;
+            target.condition = Condition::Removed;
         }
-        if (target.condition != Condition::Gone) continue;
+        if (target.condition != Condition::Removed) continue;
         // what else the entry says may make no sense here
-        Target gone = directory_.target_of(target.id).value_or(Target());
+        EndpointRecord gone = directory_.record_of(target.id).value_or(EndpointRecord());
         gone.id = target.id;
-        gone.condition = Condition::Gone;
+        gone.condition = Condition::Removed;
         target = std::move(gone);
     }
-    const auto gone = directory_.listed(told, std::chrono::steady_clock::now());
+    const auto gone = directory_.apply(told, std::chrono::steady_clock::now());
     for (const EndpointId endpoint : gone) targets_.forget(endpoint);
     ListEvent event;
     event.kind = kind;
-    for (const Target& target : told.targets) {
+    for (const EndpointRecord& target : told.endpoints) {
         const auto endpoint = directory_.find(target.id);
         if (!endpoint) continue;  // it went before it was ever listed here
         ListEntry entry;
@@ -575,18 +580,19 @@
         if (!target.kind.empty()) entry.kind = config_.names.kinds.at(target.kind);
         entry.endpoint = *endpoint;
         entry.destination = target.destination;
-        entry.rate = target.rate;
+        entry.agreed_rate_per_s = target.rate;
         entry.condition = target.condition;
         if (target.condition == Condition::Ready) targets_.set_address(*endpoint, target.address, entry.kind);
         if (target.condition == Condition::Draining) targets_.close_idle(*endpoint);
         event.entries.push_back(entry);
     }
-    for (const std::string& target : journal_->bans())  // first: what the list names anew may be out by hand
-        if (const auto endpoint = directory_.find(target)) observe(BanEvent{*endpoint, true});
+    for (const std::string& target :
+        journal_->disabled_endpoints())  // first: what the list names anew may be out by hand
+        if (const auto endpoint = directory_.find(target)) observe(AdminDisableEvent{*endpoint, true});
     observe(event);
 }
 
-void Forwarder::enqueue(Message message, Time left, Clients::Answer answer) {
+void Forwarder::enqueue(Message message, Time left, ClientServer::Reply answer) {
     const MessageId id = message.id;
     if (const auto twin = newcomers_.find(id); twin != newcomers_.end()) {
         twin->second.answer = [first = std::move(twin->second.answer), answer = std::move(answer)](
@@ -603,14 +609,16 @@
     }
     // A client that met a closed connection hands the same id in once more: it is held already.
     if (journal_->find(id) != nullptr || ended_.contains(id)) return answer(resp::simple("OK"));
-    if (!directory_.has(message.destination, std::chrono::steady_clock::now()) && !directory_.blank())
+    if (!directory_.has_destination(message.destination, std::chrono::steady_clock::now()) &&
+        !directory_.empty())
         return answer(whole_list_ ? resp::error("ERR unknown destination") : busy(kRoomWait));
-    if (journal_->unended() + newcomers_.size() >= config_.settings.most_held) return answer(busy(kRoomWait));
+    if (journal_->open_message_count() + newcomers_.size() >= config_.settings.max_held_messages)
+        return answer(busy(kRoomWait));
     MessageEvent event;
     event.message = id;
     event.destination = message.destination;
     name_class(message, event);
-    event.left = left;
+    event.time_left = left;
     newcomers_.emplace(id, Newcomer{std::move(message), std::move(answer)});
     observe(event);
 }
@@ -618,9 +626,9 @@
 void Forwarder::outcome(const OutcomeEvent& event) {
     if (role_ == Role::Offered) return outcomes_.push_back(event);
     if (role_ == Role::Released) return handover_.tell(note_of(event)), stop_if_done();
-    const Entry* entry = journal_->find(event.message);
+    const JournalEntry* entry = journal_->find(event.message);
     const std::string* target = directory_.name_of(event.endpoint);
-    log_.message(MessageStep::Outcome, event.message, name_of(event.outcome),
+    log_.message(MessageStep::AttemptEnded, event.message, name_of(event.outcome),
         target != nullptr ? plain(*target) : "", event.attempt);
     if (entry != nullptr && !entry->notice) {
         if (event.terminal)
@@ -636,8 +644,8 @@
 
 /// The platform counts a message's time from when its client sent it, the forwarder from when it read it. An
 /// answer that comes in between is none to the platform; a notice for what is over does no harm.
-void Forwarder::delivered(const Entry& entry, Outcome outcome) {
-    if (outcome == Outcome::Served && entry.message.deadline - clock_.now() <= kLongestUnread) {
+void Forwarder::delivered(const JournalEntry& entry, Outcome outcome) {
+    if (outcome == Outcome::Delivered && entry.message.deadline - clock_.now() <= kLongestUnread) {
         counters().add(Counter::LateDeliveries);
         return end(entry.message.id, {});
     }
@@ -658,7 +666,7 @@
     watch_clock();
     const std::vector<Action> actions = sender_.decide(now());
     answer_newcomers(actions);
-    std::vector<Attempt> attempts;  // together: those to one target may share a call
+    std::vector<OutgoingAttempt> attempts;  // together: those to one target may share a call
     for (const Action& action : actions)
         if (const auto* send = std::get_if<Send>(&action)) guarded([&] { begin(*send, attempts); });
     bool sent = false;
@@ -706,8 +714,8 @@
 }
 
 std::string Forwarder::take_on(const Message& message) {
-    if (journal_->take_on(message)) {
-        log_.message(MessageStep::TakenOn, message.id);
+    if (journal_->accept(message)) {
+        log_.message(MessageStep::Accepted, message.id);
         return resp::simple("OK");
     }
     log_.message(MessageStep::Refused, message.id, "journal");
@@ -716,12 +724,12 @@
 }
 
 /// On record before it goes out: after a crash it may have run.
-void Forwarder::begin(const Send& send, std::vector<Attempt>& attempts) {
+void Forwarder::begin(const Send& send, std::vector<OutgoingAttempt>& attempts) {
     const std::string* target = directory_.name_of(send.endpoint);
-    const Entry* entry = journal_->find(send.message);
+    const JournalEntry* entry = journal_->find(send.message);
     const std::uint32_t attempt = entry != nullptr ? entry->attempts : 0;
     if (entry == nullptr || target == nullptr ||
-        !journal_->begin_attempt(send.message, *target, clock_.now())) {
+        !journal_->start_attempt(send.message, *target, clock_.now())) {
         OutcomeEvent event;
         event.message = send.message;
         event.endpoint = send.endpoint;
@@ -729,9 +737,9 @@
         event.outcome = Outcome::Withheld;  // by what this machine lacks: no attempt of the message
         return observe(event);
     }
-    log_.message(MessageStep::Begun, send.message, {}, plain(*target), attempt);
+    log_.message(MessageStep::AttemptStarted, send.message, {}, plain(*target), attempt);
     attempts.push_back({send.message, send.endpoint, attempt, entry->message.key, entry->message.body,
-        send.time_out, send.begin_within, entry->message.deadline});
+        send.timeout, send.start_within, entry->message.deadline});
 }
 void Forwarder::carry_out(const CancelAttempt& cancel) {
     if (elsewhere_.contains({cancel.message, cancel.attempt}))
@@ -749,15 +757,15 @@
     });
 }
 void Forwarder::carry_out(const CloseIdle& close) { targets_.close_idle(close.endpoint); }
-void Forwarder::carry_out(const Forget& forget) { directory_.forget(forget.endpoint); }
-void Forwarder::carry_out(const TellPeers& tell) { peers_.tell(tell.to, tell.bytes); }
+void Forwarder::carry_out(const ReleaseEndpoint& forget) { directory_.forget(forget.endpoint); }
+void Forwarder::carry_out(const SendToPeers& tell) { peers_.send(tell.to, tell.bytes); }
 void Forwarder::carry_out(const Log& log) { std::cerr << log.text << '\n'; }
 
 /// On record before the platform is told: a crash in between must not bring back a message that has ended.
 /// Where the record cannot be kept the notice waits for it; from the end of the message's time on no process
 /// would call with it any more, and the notice is owed.
-void Forwarder::end(MessageId id, const Notice& notice) {
-    const Entry* entry = journal_->find(id);
+void Forwarder::end(MessageId id, const EndNotice& notice) {
+    const JournalEntry* entry = journal_->find(id);
     if (entry == nullptr) return;  // its client has the answer itself
     log_.message(MessageStep::Ended, id, notice.bounced ? "bounced" : "dead");
     remember(id, entry->message.deadline);
@@ -780,16 +788,16 @@
 
 void Forwarder::catch_up() {
     if (role_ != Role::Owner) return;
-    const bool kept = journal_->catch_up();
+    const bool kept = journal_->write_pending();
     tell_ends(kept);
     on_record(kept);
     if (kept) stop_if_done();
 }
 
 void Forwarder::tell_ends(bool kept) {
-    const Wall now = clock_.now();
+    const PersistentTime now = clock_.now();
     std::erase_if(unkept_ends_, [&](MessageId id) {
-        const Entry* entry = journal_->find(id);
+        const JournalEntry* entry = journal_->find(id);
         if (entry != nullptr && !kept && entry->message.deadline > now) return false;
         if (entry != nullptr && entry->notice) discovery_.report(id, *entry->notice);
         return true;
@@ -797,39 +805,40 @@
 }
 
 /// An id is handed in again where its client met a closed connection, and by some that copy one.
-void Forwarder::remember(MessageId ended, Wall until) {
-    const Wall now = clock_.now();
-    journal_->forget_over(now);
+void Forwarder::remember(MessageId ended, PersistentTime until) {
+    const PersistentTime now = clock_.now();
+    journal_->forget_ended_ids(now);
     for (; !ended_until_.empty() && ended_until_.front().first <= now; ended_until_.pop_front())
         ended_.erase(ended_until_.front().second);
     if (ended_.insert(ended).second) ended_until_.emplace_back(until, ended);
 }
 
-void Forwarder::operate(const OperatorCall& call, const Management::Answer& answer) {
-    if (call.order == Order::Counters) return answer({boost::beast::http::status::ok, counters().text()});
+void Forwarder::operate(const OperatorCall& call, const Management::Reply& answer) {
+    if (call.command == OperatorCommand::Counters)
+        return answer({boost::beast::http::status::ok, counters().text()});
     const bool replaced = role_ == Role::Offered || role_ == Role::Released;
-    if (call.order == Order::Ready || !replaced) return answer(verdict_on(call));
+    if (call.command == OperatorCommand::Ready || !replaced) return answer(verdict_on(call));
     relayed_.emplace(++relays_, Relayed{call, answer});
     if (role_ == Role::Released) handover_.tell(note_of(relays_, call));
 }
 
-Verdict Forwarder::verdict_on(const OperatorCall& call) {
+OperatorReply Forwarder::verdict_on(const OperatorCall& call) {
     using boost::beast::http::status;
     if (role_ == Role::Waiting) return {status::service_unavailable, "waits for the process before it"};
-    switch (call.order) {
-        case Order::Ready:
+    switch (call.command) {
+        case OperatorCommand::Ready:
             if (drained_ || finishing_ || !clients_.listening())
                 return {status::service_unavailable, drained_ ? "drained" : "takes no clients"};
             return {status::ok, "ready"};
-        case Order::Disable:
-        case Order::Enable:
-            return ban(call.who, call.order == Order::Disable);
-        case Order::Counters:
+        case OperatorCommand::Disable:
+        case OperatorCommand::Enable:
+            return ban(call.endpoint, call.command == OperatorCommand::Disable);
+        case OperatorCommand::Counters:
             break;  // needs no owner, and is answered before
-        case Order::Drain:
+        case OperatorCommand::Drain:
             drain();
             return {status::ok, "draining"};
-        case Order::Undrain:
+        case OperatorCommand::Undrain:
             undrain();
             return {status::ok, "takes clients again"};
     }
@@ -837,24 +846,25 @@
 }
 
 /// On record before it is in force: what operators were told must outlast the process.
-Verdict Forwarder::ban(const std::string& target, bool on) {
+OperatorReply Forwarder::ban(const std::string& target, bool on) {
     using boost::beast::http::status;
-    if (!journal_->bans().contains(target) && !directory_.ever_listed(target))
+    if (!journal_->disabled_endpoints().contains(target) && !directory_.ever_listed(target))
         return {status::not_found, "no list has named " + plain(target)};
-    if (!journal_->ban(target, on)) return {status::service_unavailable, "no room to keep it"};
+    if (!journal_->set_endpoint_disabled(target, on))
+        return {status::service_unavailable, "no room to keep it"};
     std::cerr << "operators: " << plain(target) << (on ? " is out\n" : " is used again\n");
-    if (const auto endpoint = directory_.find(target)) observe(BanEvent{*endpoint, on});
+    if (const auto endpoint = directory_.find(target)) observe(AdminDisableEvent{*endpoint, on});
     return {status::ok, on ? "out" : "in use"};
 }
 
 void Forwarder::drain() {
     if (std::exchange(drained_, true)) return;
     std::cerr << "operators: drain\n";
-    clients_.say_no(true);
+    clients_.set_unready(true);
     send_off_.expires_after(kHandOver);
     send_off_.async_wait([this](auto cancelled) {
         if (!cancelled && drained_ && send_off_.expiry() <= std::chrono::steady_clock::now())
-            clients_.send_off(true);
+            clients_.set_closing_between_requests(true);
     });
 }
 
@@ -862,8 +872,8 @@
     if (!std::exchange(drained_, false)) return;
     std::cerr << "operators: takes clients again\n";
     send_off_.cancel();
-    clients_.say_no(false);
-    if (!finishing_) clients_.send_off(false);
+    clients_.set_unready(false);
+    if (!finishing_) clients_.set_closing_between_requests(false);
 }
 
 void Forwarder::reload() {
@@ -873,7 +883,7 @@
         return;
     }
     Config fresh = within_descriptors(config_of_environment(&config_));
-    fresh.settings.slots = std::min(fresh.settings.slots, targets_.most_connections());
+    fresh.settings.max_calls = std::min(fresh.settings.max_calls, targets_.max_connections());
     observe(SettingsEvent{fresh.settings});  // first: the module knows best which settings make no sense
     config_.settings = std::move(fresh.settings);
     // what was passed over for its name is told again in a whole list alone
@@ -881,8 +891,8 @@
                             fresh.names.kinds.size() > config_.names.kinds.size();
     config_.names = std::move(fresh.names);
     config_.connect_timeout = fresh.connect_timeout;
-    config_.reports = fresh.reports;
-    config_.file = std::move(fresh.file);
+    config_.load_reports = fresh.load_reports;
+    config_.json = std::move(fresh.json);
     discovery_.move_to(fresh.discovery, more_names);
 }
 
@@ -902,7 +912,7 @@
 /// With nothing owed and no client left, there is nothing to wait for.
 void Forwarder::stop_if_done() {
     if (role_ == Role::Released) {
-        if ((finishing_ || lingered_) && clients_.empty() && targets_.calls() == 0) io_.stop();
+        if ((finishing_ || lingered_) && clients_.empty() && targets_.active_call_count() == 0) io_.stop();
         return;
     }
     if (role_ == Role::Owner && finishing_ && finish_step_.expiry() <= std::chrono::steady_clock::now() &&
--- a/src/net/forwarder.hpp
+++ b/src/net/forwarder.hpp
@@ -9,16 +9,16 @@
 #include <string>
 #include <vector>
 
-#include "clients.hpp"
+#include "client_server.hpp"
 #include "config.hpp"
-#include "directory.hpp"
 #include "discovery.hpp"
+#include "endpoint_caller.hpp"
+#include "endpoint_directory.hpp"
 #include "event_log.hpp"
 #include "handover.hpp"
 #include "journal.hpp"
 #include "management.hpp"
-#include "peers.hpp"
-#include "targets.hpp"
+#include "peer_channel.hpp"
 
 namespace lockgw {
 
@@ -40,7 +40,7 @@
 private:
     struct Newcomer {
         Message message;
-        Clients::Answer answer;
+        ClientServer::Reply answer;
     };
 
     using AttemptId = std::pair<MessageId, std::uint32_t>;
@@ -59,24 +59,24 @@
     void take_back(bool offered);
     void told(const Json& note);
     void predecessor_left();
-    void adopt(const Json& offer, const std::vector<Targets::Out>& out);
-    void hand_calls_on(const std::vector<Targets::Out>& out);
-    std::vector<Targets::Out> out_elsewhere(const Json& calls);
+    void adopt(const Json& offer, const std::vector<EndpointCaller::ActiveCall>& out);
+    void hand_calls_on(const std::vector<EndpointCaller::ActiveCall>& out);
+    std::vector<EndpointCaller::ActiveCall> out_elsewhere(const Json& calls);
     Json calls_out() const;
     void learn(const Json& learned);
     Json learned() const;
     void tell_held();
-    void relay(const OperatorCall& call, Management::Answer answer);
+    void relay(const OperatorCall& call, Management::Reply answer);
     void enqueue_here_again();
     bool name_class(const Message& message, cometspoke::MessageEvent& event) const;
     void take_up(const std::set<AttemptId>& out);
-    void operate(const OperatorCall& call, const Management::Answer& answer);
-    Verdict verdict_on(const OperatorCall& call);
-    Verdict ban(const std::string& target, bool on);
+    void operate(const OperatorCall& call, const Management::Reply& answer);
+    OperatorReply verdict_on(const OperatorCall& call);
+    OperatorReply ban(const std::string& target, bool on);
     void drain();
     void undrain();
-    void list(TargetList told, cometspoke::ListKind kind);
-    void enqueue(Message message, cometspoke::Time left, Clients::Answer answer);
+    void list(EndpointList told, cometspoke::ListUpdateKind kind);
+    void enqueue(Message message, cometspoke::Time left, ClientServer::Reply answer);
     void outcome(const cometspoke::OutcomeEvent& event);
     void observe(const cometspoke::Event& event);
     void turn();
@@ -86,38 +86,38 @@
     void guarded(Step step);
     void stop_if_done();
 
-    void begin(const cometspoke::Send& send, std::vector<Attempt>& attempts);
+    void begin(const cometspoke::Send& send, std::vector<OutgoingAttempt>& attempts);
     void carry_out(const cometspoke::Send&) {}  // all of a turn's together
     void carry_out(const cometspoke::CancelAttempt& cancel);
     void carry_out(const cometspoke::Refuse& refuse);
     void carry_out(const cometspoke::Fail& fail);
     void carry_out(const cometspoke::SetTimer& timer);
     void carry_out(const cometspoke::CloseIdle& close);
-    void carry_out(const cometspoke::Forget& forget);
-    void carry_out(const cometspoke::TellPeers& tell);
+    void carry_out(const cometspoke::ReleaseEndpoint& forget);
+    void carry_out(const cometspoke::SendToPeers& tell);
     void carry_out(const cometspoke::Log& log);
     void carry_out(const cometspoke::Probe&) {}      // not allowed on sockets
     void carry_out(const cometspoke::Watch&) {}      // discovery is always watched
     void carry_out(const cometspoke::FetchList&) {}  // and its whole list asked for first
-    void end(MessageId id, const Notice& notice);
+    void end(MessageId id, const EndNotice& notice);
     void on_record(bool kept);
     void catch_up();
     void tell_ends(bool kept);
     void watch_clock();
-    void delivered(const Entry& entry, cometspoke::Outcome outcome);
-    void remember(MessageId ended, Wall until);
+    void delivered(const JournalEntry& entry, cometspoke::Outcome outcome);
+    void remember(MessageId ended, PersistentTime until);
 
     asio::io_context& io_;
     Config config_;
     EventLog log_;
-    LastingClock clock_;
+    PersistentClock clock_;
     std::optional<Journal> journal_;  // while this process owns the folder
     cometspoke::Sender sender_;
-    Directory directory_;
-    Targets targets_;
+    EndpointDirectory directory_;
+    EndpointCaller targets_;
     Discovery discovery_;
-    Peers peers_;
-    Clients clients_;
+    PeerChannel peers_;
+    ClientServer clients_;
     Management management_;
     Handover handover_;
     asio::steady_timer timer_, send_off_, finish_step_, finish_end_, held_pause_, linger_, catch_up_again_;
@@ -132,7 +132,7 @@
     std::map<AttemptId, Elsewhere> elsewhere_;  // out on the connections of the process before
     struct Relayed {
         OperatorCall call;
-        Management::Answer answer;
+        Management::Reply answer;
     };
     std::map<std::uint64_t, Relayed> relayed_;  // operators' calls that wait for the owner
     std::uint64_t relays_ = 0;
@@ -144,7 +144,7 @@
     std::set<MessageId> unkept_ends_;            // not on record yet, and so not told
     std::optional<std::chrono::steady_clock::time_point> unreadable_since_;  // the journal, at a start
     std::set<MessageId> ended_;  // whose time is not up: none of them is taken on anew
-    std::deque<std::pair<Wall, MessageId>> ended_until_;
+    std::deque<std::pair<PersistentTime, MessageId>> ended_until_;
 };
 
 }  // namespace lockgw
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -127,9 +127,9 @@
 
 bool Handover::open_folder() {
     if (folder_file_.get() < 0)
-        folder_file_ = Descriptor(open_uninterrupted(folder_, O_RDONLY | O_DIRECTORY));
+        folder_file_ = Descriptor(open_retrying_interrupts(folder_, O_RDONLY | O_DIRECTORY));
     if (lock_file_.get() < 0)
-        lock_file_ = Descriptor(open_uninterrupted(folder_ / "owner", O_RDWR | O_CREAT, 0600));
+        lock_file_ = Descriptor(open_retrying_interrupts(folder_ / "owner", O_RDWR | O_CREAT, 0600));
     return folder_file_.get() >= 0 && lock_file_.get() >= 0;
 }
 
@@ -221,7 +221,7 @@
 
 /// The process that had the address before may just be ending; another program will not give it up.
 bool Handover::worth_another_start(const std::error_code& error) {
-    if (error != std::errc::address_in_use) return may_pass(error);
+    if (error != std::errc::address_in_use) return is_transient(error);
     if (!in_use_since_) in_use_since_ = std::chrono::steady_clock::now();
     return std::chrono::steady_clock::now() - *in_use_since_ < kAddressInUse;
 }
@@ -231,7 +231,7 @@
     for (int attempt = 1; offer && attempt < kOwnAttempts; ++attempt) try {
             return steps_.own(offer);
         } catch (const std::exception& bad) {
-            if (!may_pass(system_error_of(bad))) throw;
+            if (!is_transient(system_error_of(bad))) throw;
             std::this_thread::sleep_for(kClaimAgain);
         }
     steps_.own(offer);
@@ -353,7 +353,7 @@
     listen();
     steps_.take_back(false);
 } catch (const std::exception& bad) {
-    if (!may_pass(system_error_of(bad))) return steps_.lost(bad.what());
+    if (!is_transient(system_error_of(bad))) return steps_.lost(bad.what());
     state_ = State::Released;
     boost::system::error_code ignored;
     acceptor_.close(ignored);
--- a/src/net/journal.cpp
+++ b/src/net/journal.cpp
@@ -75,10 +75,10 @@
         bytes_.append(value);
         return *this;
     }
-    Writer& time(Wall value) { return number<std::int64_t>(value.time_since_epoch().count()); }
-    Writer& attempt(const std::optional<BegunAttempt>& value) {
+    Writer& time(PersistentTime value) { return number<std::int64_t>(value.time_since_epoch().count()); }
+    Writer& attempt(const std::optional<StartedAttempt>& value) {
         number(static_cast<std::uint8_t>(!value ? 0 : value->written ? kWritten : kConnecting));
-        return value ? time(value->since).text(value->target) : *this;
+        return value ? time(value->since).text(value->endpoint) : *this;
     }
     const std::string& bytes() const { return bytes_; }
 
@@ -98,12 +98,12 @@
     }
     std::string text() { return std::string(take(number<std::uint32_t>())); }
     bool empty() const { return rest_.empty(); }
-    Wall time() { return Wall(std::chrono::microseconds(number<std::int64_t>())); }
-    std::optional<BegunAttempt> attempt() {
+    PersistentTime time() { return PersistentTime(std::chrono::microseconds(number<std::int64_t>())); }
+    std::optional<StartedAttempt> attempt() {
         const auto stage = number<std::uint8_t>();
         if (stage == 0) return std::nullopt;
-        const Wall since = time();
-        return BegunAttempt{since, text(), stage != kConnecting};
+        const PersistentTime since = time();
+        return StartedAttempt{since, text(), stage != kConnecting};
     }
 
 private:
@@ -117,53 +117,53 @@
 };
 
 void write_terms(const cometspoke::ClassSettings& terms, Writer& writer) {
-    writer.number(static_cast<std::uint8_t>(terms.effect));
+    writer.number(static_cast<std::uint8_t>(terms.delivery));
     writer.number(static_cast<std::uint8_t>(terms.dedup_scope));
-    for (const cometspoke::Time time : {terms.window, terms.aim, terms.deadline})
+    for (const cometspoke::Time time : {terms.dedup_window, terms.target_latency, terms.deadline})
         writer.number<std::int64_t>(time.count());
-    writer.number(terms.worth).number(terms.late_worth).number<std::uint8_t>(terms.sequential);
+    writer.number(terms.utility).number(terms.late_utility).number<std::uint8_t>(terms.sequential);
 }
 cometspoke::ClassSettings read_terms(Reader& reader) {
     cometspoke::ClassSettings terms;
-    terms.effect = static_cast<cometspoke::Effect>(reader.number<std::uint8_t>());
+    terms.delivery = static_cast<cometspoke::DeliverySemantics>(reader.number<std::uint8_t>());
     terms.dedup_scope = static_cast<cometspoke::DedupScope>(reader.number<std::uint8_t>());
-    for (cometspoke::Time* time : {&terms.window, &terms.aim, &terms.deadline})
+    for (cometspoke::Time* time : {&terms.dedup_window, &terms.target_latency, &terms.deadline})
         *time = cometspoke::Time(reader.number<std::int64_t>());
-    terms.worth = reader.number<double>();
-    terms.late_worth = reader.number<double>();
+    terms.utility = reader.number<double>();
+    terms.late_utility = reader.number<double>();
     terms.sequential = reader.number<std::uint8_t>() != 0;
     return terms;
 }
 
-std::string record_of(const Entry& entry) {
+std::string record_of(const JournalEntry& entry) {
     const Message& message = entry.message;
     Writer writer(Kind::Entry);
     writer.number(message.id).text(message.message_class).text(message.tenant).text(message.key);
     writer.number(message.destination).time(message.deadline).text(message.body);
-    writer.number(entry.attempts).attempt(entry.doubt).attempt(entry.out);
+    writer.number(entry.attempts).attempt(entry.ambiguous_attempt).attempt(entry.open_attempt);
     writer.number<std::uint8_t>(entry.notice.has_value());
     if (entry.notice) {
         writer.number<std::uint8_t>(entry.notice->bounced);
-        writer.number<std::int64_t>(entry.notice->wait.count());
+        writer.number<std::int64_t>(entry.notice->retry_after.count());
     }
-    if (message.terms) write_terms(*message.terms, writer);
-    if (message.terms && message.order_key) writer.number(*message.order_key);
+    if (message.class_settings) write_terms(*message.class_settings, writer);
+    if (message.class_settings && message.order_key) writer.number(*message.order_key);
     return writer.bytes();
 }
 /// Of its record, or a little more, without writing it: it is asked for at every change of an entry.
-std::size_t size_of(const Entry& entry) {
+std::size_t size_of(const JournalEntry& entry) {
     constexpr std::size_t fixed = 176;  // all numbers, times and lengths of texts
     const Message& message = entry.message;
     return fixed + message.message_class.size() + message.tenant.size() + message.key.size() +
-           message.body.size() + (entry.doubt ? entry.doubt->target.size() : 0) +
-           (entry.out ? entry.out->target.size() : 0);
+           message.body.size() + (entry.ambiguous_attempt ? entry.ambiguous_attempt->endpoint.size() : 0) +
+           (entry.open_attempt ? entry.open_attempt->endpoint.size() : 0);
 }
-Notice read_notice(Reader& reader) {
+EndNotice read_notice(Reader& reader) {
     const bool bounced = reader.number<std::uint8_t>() != 0;
     return {bounced, std::chrono::milliseconds(reader.number<std::int64_t>())};
 }
-Entry read_entry(MessageId id, Reader& reader) {
-    Entry entry;
+JournalEntry read_entry(MessageId id, Reader& reader) {
+    JournalEntry entry;
     Message& message = entry.message;
     message.id = id;
     message.message_class = reader.text();
@@ -173,21 +173,21 @@
     message.deadline = reader.time();
     message.body = reader.text();
     entry.attempts = reader.number<std::uint32_t>();
-    entry.doubt = reader.attempt();
-    entry.out = reader.attempt();
+    entry.ambiguous_attempt = reader.attempt();
+    entry.open_attempt = reader.attempt();
     if (reader.number<std::uint8_t>() != 0) entry.notice = read_notice(reader);
-    if (!reader.empty()) message.terms = read_terms(reader);  // earlier versions wrote none
+    if (!reader.empty()) message.class_settings = read_terms(reader);  // earlier versions wrote none
     if (!reader.empty()) message.order_key = reader.number<std::uint64_t>();
     return entry;
 }
 
-std::string epoch_record(const LastingClock::Epoch& epoch) {
+std::string epoch_record(const PersistentClock::Epoch& epoch) {
     Writer writer(Kind::Epoch);
     writer.number(kNoMessage).text(epoch.boot_id).number<std::int64_t>(epoch.offset.count());
     return writer.bytes();
 }
-LastingClock::Epoch read_epoch(Reader& reader) {
-    LastingClock::Epoch epoch;
+PersistentClock::Epoch read_epoch(Reader& reader) {
+    PersistentClock::Epoch epoch;
     epoch.boot_id = reader.text();
     epoch.offset = std::chrono::microseconds(reader.number<std::int64_t>());
     return epoch;
@@ -228,12 +228,12 @@
 
 }  // namespace
 
-std::string record_of(const Message& message) {
-    Entry entry;
+std::string serialize_message(const Message& message) {
+    JournalEntry entry;
     entry.message = message;
     return record_of(entry);
 }
-Message message_of_record(std::string_view record) {
+Message parse_message_record(std::string_view record) {
     Reader reader(record);
     reader.number<std::uint8_t>();  // its kind
     const auto id = reader.number<MessageId>();
@@ -249,7 +249,7 @@
     if (fd_ >= 0) ::close(fd_);
 }
 
-Journal::Journal(std::filesystem::path folder, std::size_t disk_bytes, Unreadable unreadable)
+Journal::Journal(std::filesystem::path folder, std::size_t disk_bytes, OnReadError unreadable)
     : folder_(std::move(folder)), most_(disk_bytes - std::min(disk_bytes, kFolder)) {
     std::error_code ignored;
     std::filesystem::remove(folder_ / "journal.new", ignored);  // a compaction that was cut off
@@ -265,17 +265,17 @@
 
 /// The file as it is, without what is torn at its end.
 void Journal::open_file() {
-    file_ = Descriptor(open_uninterrupted(folder_ / "journal", O_WRONLY | O_CREAT | O_APPEND, 0600));
+    file_ = Descriptor(open_retrying_interrupts(folder_ / "journal", O_WRONLY | O_CREAT | O_APPEND, 0600));
     if (file_.get() >= 0 && ::ftruncate(file_.get(), static_cast<off_t>(size_)) == 0) return;
     throw std::system_error(
         errno, std::system_category(), "the journal in " + folder_.string() + " cannot be written");
 }
 
-void Journal::recover(Unreadable unreadable) {
+void Journal::recover(OnReadError unreadable) {
     FileContents file = read_file_with_retries(folder_ / "journal");
     if (file.error == std::errc::no_such_file_or_directory) return;
-    if (file.error && unreadable == Unreadable::Throw)
-        throw UnreadableJournal(file.error, "the journal in " + folder_.string() + " cannot be read");
+    if (file.error && unreadable == OnReadError::Throw)
+        throw JournalReadError(file.error, "the journal in " + folder_.string() + " cannot be read");
     if (file.error) return keep_aside(file.error.message());
     const std::string& bytes = file.bytes;
     while (const auto record = unframed(std::string_view(bytes).substr(size_))) {
@@ -312,7 +312,7 @@
     const std::filesystem::path name = free_aside_name();
     std::error_code failed;
     std::filesystem::rename(folder_ / "journal", name, failed);
-    if (failed) throw UnreadableJournal(failed, "the unreadable journal cannot be kept aside");
+    if (failed) throw JournalReadError(failed, "the unreadable journal cannot be kept aside");
     log() << "cannot be read, kept aside as " << name.filename() << ": " << why << std::endl;
 }
 
@@ -322,19 +322,20 @@
     if (std::exchange(told_, fault) != fault) log() << what << '\n';
 }
 
-const Entry* Journal::find(MessageId id) const {
+const JournalEntry* Journal::find(MessageId id) const {
     const auto found = entries_.find(id);
     return found == entries_.end() ? nullptr : &found->second;
 }
 
-std::vector<const Entry*> Journal::in_order() const {
-    std::vector<const Entry*> all;
+std::vector<const JournalEntry*> Journal::entries_by_arrival() const {
+    std::vector<const JournalEntry*> all;
     for (const auto& [id, entry] : entries_) all.push_back(&entry);
-    std::sort(all.begin(), all.end(), [](const Entry* a, const Entry* b) { return a->arrival < b->arrival; });
+    std::sort(all.begin(), all.end(),
+        [](const JournalEntry* a, const JournalEntry* b) { return a->arrival < b->arrival; });
     return all;
 }
 
-std::size_t Journal::cost(const Entry& entry) { return kHeader + size_of(entry) + kGrowth; }
+std::size_t Journal::cost(const JournalEntry& entry) { return kHeader + size_of(entry) + kGrowth; }
 
 /// What a record says, done to the entries: the same for one just written and for one read back.
 bool Journal::apply(std::string_view record) try {
@@ -342,7 +343,7 @@
     const auto kind = static_cast<Kind>(reader.number<std::uint8_t>());
     const auto id = reader.number<MessageId>();
     if (kind == Kind::Entry) {
-        Entry entry = read_entry(id, reader);
+        JournalEntry entry = read_entry(id, reader);
         if (entries_.contains(id)) return false;
         entry.arrival = ++arrivals_;
         live_ += cost(entry);
@@ -368,23 +369,25 @@
     }
     const auto found = entries_.find(id);
     if (found == entries_.end()) return true;
-    Entry& entry = found->second;
+    JournalEntry& entry = found->second;
     live_ -= cost(entry);
     if (kind == Kind::Begun || kind == Kind::Connecting) {
-        entry.doubt = entry.may_have_run();
-        const Wall since = reader.time();
-        entry.out = BegunAttempt{since, reader.text(), kind == Kind::Begun};
+        entry.ambiguous_attempt = entry.first_possible_run();
+        const PersistentTime since = reader.time();
+        entry.open_attempt = StartedAttempt{since, reader.text(), kind == Kind::Begun};
         ++entry.attempts;
     } else if (kind == Kind::Written) {
-        if (entry.out) entry.out->written = true;
+        if (entry.open_attempt) entry.open_attempt->written = true;
     } else if (kind == Kind::NeverRan) {
-        entry.out.reset();
+        entry.open_attempt.reset();
     } else if (kind == Kind::Withdrawn) {
-        entry.out.reset();
+        entry.open_attempt.reset();
         if (entry.attempts > 0) --entry.attempts;
     } else if (kind == Kind::MayHaveRun) {
-        if (!entry.doubt) entry.doubt = std::move(entry.out);  // by its outcome, written on record or not
-        entry.out.reset();
+        if (!entry.ambiguous_attempt)
+            entry.ambiguous_attempt =
+                std::move(entry.open_attempt);  // by its outcome, written on record or not
+        entry.open_attempt.reset();
     } else if (kind == Kind::Ended) {
         if (!entry.notice) --unended_;
         entry.notice = read_notice(reader);
@@ -401,7 +404,7 @@
     return false;
 }
 
-void Journal::keep_over(Wall until, MessageId id) {
+void Journal::keep_over(PersistentTime until, MessageId id) {
     over_.emplace(until, id);
     live_ += kOverCost;
     while (static_cast<double>(over_.size() * kOverCost) > kOverShare * static_cast<double>(most_))
@@ -411,12 +414,12 @@
     over_.erase(over_.begin());
     live_ -= kOverCost;
 }
-void Journal::forget_over(Wall now) {
+void Journal::forget_ended_ids(PersistentTime now) {
     while (!over_.empty() && over_.begin()->first <= now) drop_over();
 }
 
-bool Journal::take_on(const Message& message) {
-    Entry entry;
+bool Journal::accept(const Message& message) {
+    JournalEntry entry;
     entry.message = message;
     const auto most_live = static_cast<std::size_t>(kLiveShare * static_cast<double>(most_));
     if (entries_.contains(message.id)) return false;
@@ -427,14 +430,14 @@
     const std::string record = record_of(entry);
     return append(record) && apply(record);
 }
-bool Journal::begin_attempt(MessageId id, const std::string& target, Wall now) {
+bool Journal::start_attempt(MessageId id, const std::string& target, PersistentTime now) {
     const Writer writer = Writer(Kind::Connecting)
                               .number(id)
                               .time(now)
                               .text(std::string_view(target).substr(0, kLongestTarget));
     return append(writer.bytes()) && apply(writer.bytes());
 }
-bool Journal::write_attempt(MessageId id) {
+bool Journal::mark_attempt_written(MessageId id) {
     const Writer writer = Writer(Kind::Written).number(id);
     return append(writer.bytes()) && apply(writer.bytes());
 }
@@ -443,15 +446,15 @@
 }
 bool Journal::withdraw_attempt(MessageId id) { return write(Writer(Kind::Withdrawn).number(id).bytes()); }
 bool Journal::delivered(MessageId id) { return write(Writer(Kind::Delivered).number(id).bytes()); }
-bool Journal::confirmed(MessageId id) { return write(Writer(Kind::Confirmed).number(id).bytes()); }
-bool Journal::end(MessageId id, Notice notice) {
+bool Journal::confirm_notice(MessageId id) { return write(Writer(Kind::Confirmed).number(id).bytes()); }
+bool Journal::end(MessageId id, EndNotice notice) {
     Writer writer(Kind::Ended);
-    writer.number(id).number<std::uint8_t>(notice.bounced).number<std::int64_t>(notice.wait.count());
+    writer.number(id).number<std::uint8_t>(notice.bounced).number<std::int64_t>(notice.retry_after.count());
     return write(writer.bytes());
 }
-bool Journal::catch_up() { return !stale_ || compact(); }
+bool Journal::write_pending() { return !stale_ || compact(); }
 
-bool Journal::ban(const std::string& target, bool on) {
+bool Journal::set_endpoint_disabled(const std::string& target, bool on) {
     if (bans_.contains(target) == on) return true;
     const std::string record = ban_record(target, on);
     return append(record) && apply(record);
@@ -479,7 +482,7 @@
         return false;
     }
     if (!compacted) return false;
-    const std::error_code failed = write_whole(file_.get(), bytes);
+    const std::error_code failed = write_all(file_.get(), bytes);
     if (!failed) {
         size_ += bytes.size();
         told_ = Fault::None;
@@ -505,14 +508,14 @@
 bool Journal::write_anew() {
     std::string bytes = framed(epoch_record(clock_.epoch()));
     for (const std::string& target : bans_) bytes += framed(ban_record(target, true));
-    for (const Entry* entry : in_order()) bytes += framed(record_of(*entry));
+    for (const JournalEntry* entry : entries_by_arrival()) bytes += framed(record_of(*entry));
     for (const auto& [until, id] : over_) bytes += framed(Writer(Kind::Over).number(id).time(until).bytes());
     if (in_blocks(size_) + in_blocks(bytes.size()) > most_) return false;
     const auto fresh = folder_ / "journal.new";
-    Descriptor file(open_uninterrupted(fresh, O_WRONLY | O_CREAT | O_TRUNC | O_APPEND, 0600));
+    Descriptor file(open_retrying_interrupts(fresh, O_WRONLY | O_CREAT | O_TRUNC | O_APPEND, 0600));
     std::error_code failed;
     if (file.get() < 0) failed = std::error_code(errno, std::system_category());
-    if (!failed) failed = write_whole(file.get(), bytes);
+    if (!failed) failed = write_all(file.get(), bytes);
     if (!failed) std::filesystem::rename(fresh, folder_ / "journal", failed);
     if (failed) {
         say(Fault::CannotWrite, "cannot be written anew: " + failed.message());
--- a/src/net/journal.hpp
+++ b/src/net/journal.hpp
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "cometspoke/sender.hpp"
-#include "lasting_clock.hpp"
+#include "persistent_clock.hpp"
 
 namespace lockgw {
 
@@ -28,38 +28,41 @@
     MessageId id = 0;
     std::string message_class, tenant, key;
     std::int64_t destination = 0;
-    Wall deadline{};
+    PersistentTime deadline{};
     std::string body;
     /// Messages of a sequential class that share it go one at a time, in the order of their arrival.
     std::optional<std::uint64_t> order_key{};
     /// Its class as it is: a later configuration may not know it, or mean something else by it.
-    std::optional<cometspoke::ClassSettings> terms{};
+    std::optional<cometspoke::ClassSettings> class_settings{};
 };
-struct BegunAttempt {
-    Wall since{};
-    std::string target;
+struct StartedAttempt {
+    PersistentTime since{};
+    std::string endpoint;
     bool written =
         true;  ///< in part or whole; before that it waits for its connection and has surely not run
 };
 /// How a message ended that was not delivered.
-struct Notice {
+struct EndNotice {
     bool bounced = false;  ///< else dead
-    std::chrono::milliseconds wait{0};
+    std::chrono::milliseconds retry_after{0};
 };
-struct Entry {
+struct JournalEntry {
     Message message;
     std::uint32_t attempts = 0;
-    std::optional<BegunAttempt> doubt;  ///< the first attempt that may have run
-    std::optional<BegunAttempt> out;    ///< the one without an outcome
-    std::optional<Notice> notice;       ///< the message is over, and this is not confirmed yet
-    std::uint64_t arrival = 0;          ///< its place in the order of taking on
+    std::optional<StartedAttempt> ambiguous_attempt;  ///< the first attempt that may have run
+    std::optional<StartedAttempt> open_attempt;       ///< the one without an outcome
+    std::optional<EndNotice> notice;                  ///< the message is over, and this is not confirmed yet
+    std::uint64_t arrival = 0;                        ///< its place in the order of taking on
     /// The first attempt that may have run if the process ended now.
-    std::optional<BegunAttempt> may_have_run() const { return doubt || (out && !out->written) ? doubt : out; }
+    std::optional<StartedAttempt> first_possible_run() const {
+        return ambiguous_attempt || (open_attempt && !open_attempt->written) ? ambiguous_attempt
+                                                                             : open_attempt;
+    }
 };
 
 /// A message as bytes and back, for another process. Throws std::out_of_range where the bytes are no message.
-std::string record_of(const Message& message);
-Message message_of_record(std::string_view record);
+std::string serialize_message(const Message& message);
+Message parse_message_record(std::string_view record);
 
 class Descriptor {
 public:
@@ -76,7 +79,7 @@
 };
 
 /// There is a journal, and none of its bytes can be had now.
-class UnreadableJournal : public std::system_error {
+class JournalReadError : public std::system_error {
 public:
     using std::system_error::system_error;
 };
@@ -85,58 +88,59 @@
 public:
     /// What to do with a journal that cannot be read: tell the caller, who may try again, or keep the file
     /// aside under another name and begin anew. It is never written over.
-    enum class Unreadable { Throw, KeepAside };
+    enum class OnReadError { Throw, KeepAside };
 
-    /// Reads back what an earlier process owed. Throws UnreadableJournal, or another std::system_error where
+    /// Reads back what an earlier process owed. Throws JournalReadError, or another std::system_error where
     /// the folder cannot be used now.
-    Journal(std::filesystem::path folder, std::size_t disk_bytes, Unreadable unreadable = Unreadable::Throw);
+    Journal(
+        std::filesystem::path folder, std::size_t disk_bytes, OnReadError unreadable = OnReadError::Throw);
 
     /// The clock of all its times, which goes on over restarts.
-    const LastingClock& clock() const { return clock_; }
+    const PersistentClock& clock() const { return clock_; }
 
-    const std::map<MessageId, Entry>& entries() const { return entries_; }
-    const Entry* find(MessageId id) const;
+    const std::map<MessageId, JournalEntry>& entries() const { return entries_; }
+    const JournalEntry* find(MessageId id) const;
     /// How many of the entries are messages that are still to be delivered or ended.
-    std::size_t unended() const { return unended_; }
+    std::size_t open_message_count() const { return unended_; }
     /// In the order in which they were taken on.
-    std::vector<const Entry*> in_order() const;
+    std::vector<const JournalEntry*> entries_by_arrival() const;
 
     /// What has ended, by the end of its time: none of it may be taken on anew. As much as there is room for.
-    const std::multimap<Wall, MessageId>& over() const { return over_; }
-    void forget_over(Wall now);
+    const std::multimap<PersistentTime, MessageId>& ended_ids() const { return over_; }
+    void forget_ended_ids(PersistentTime now);
 
     /// False where it could not be kept: nothing is owed then.
-    [[nodiscard]] bool take_on(const Message& message);
+    [[nodiscard]] bool accept(const Message& message);
     /// It counts from here on. False where it could not be kept: it must not begin then.
-    [[nodiscard]] bool begin_attempt(MessageId id, const std::string& target, Wall now);
+    [[nodiscard]] bool start_attempt(MessageId id, const std::string& target, PersistentTime now);
     /// The first byte of its call is about to go. False where it could not be kept: none must go then.
-    [[nodiscard]] bool write_attempt(MessageId id);
+    [[nodiscard]] bool mark_attempt_written(MessageId id);
 
     // What has happened counts here even where it cannot be kept. They return false then: a process that
-    // ends before `catch_up` succeeds leaves a file that does not tell it.
+    // ends before `write_pending` succeeds leaves a file that does not tell it.
 
     /// The attempt that is out has an outcome.
     [[nodiscard]] bool end_attempt(MessageId id, bool never_ran);
     /// It was not begun after all, and does not count.
     [[nodiscard]] bool withdraw_attempt(MessageId id);
     [[nodiscard]] bool delivered(MessageId id);
-    [[nodiscard]] bool end(MessageId id, Notice notice);
-    [[nodiscard]] bool confirmed(MessageId id);
+    [[nodiscard]] bool end(MessageId id, EndNotice notice);
+    [[nodiscard]] bool confirm_notice(MessageId id);
     /// Whether the file holds all that has been told to this journal.
     bool up_to_date() const { return !stale_; }
     /// Tries to bring it there; false where that fails, or has failed too shortly before.
-    [[nodiscard]] bool catch_up();
+    [[nodiscard]] bool write_pending();
 
     /// Targets that operators have taken out by hand.
-    const std::set<std::string>& bans() const { return bans_; }
+    const std::set<std::string>& disabled_endpoints() const { return bans_; }
     /// False where it could not be kept: nothing has changed then.
-    bool ban(const std::string& target, bool on);
+    bool set_endpoint_disabled(const std::string& target, bool on);
 
 private:
     /// What keeps records out of the file.
     enum class Fault { None, Full, CannotWrite };
 
-    void recover(Unreadable unreadable);
+    void recover(OnReadError unreadable);
     void keep_aside(const std::string& why);
     std::filesystem::path free_aside_name() const;
     std::size_t aside_bytes() const;
@@ -148,13 +152,13 @@
     void say(Fault fault, const std::string& what);
     bool write(const std::string& record);
     bool room_for(std::size_t bytes) const;
-    static std::size_t cost(const Entry& entry);
-    void keep_over(Wall until, MessageId id);
+    static std::size_t cost(const JournalEntry& entry);
+    void keep_over(PersistentTime until, MessageId id);
     void drop_over();
 
     std::filesystem::path folder_;
-    LastingClock clock_;
-    std::optional<LastingClock::Epoch> epoch_in_file_;  // the last one that was read
+    PersistentClock clock_;
+    std::optional<PersistentClock::Epoch> epoch_in_file_;  // the last one that was read
     Fault told_ = Fault::None;  // the last one that the log has named, until a record is kept again
     std::size_t most_;          // bytes that both files together may take
     std::size_t size_ = 0;      // of the file
@@ -162,9 +166,9 @@
     bool stale_ = false;        // the file lacks something: it must be written anew before the next record
     std::chrono::steady_clock::time_point compact_again_at_{};  // after one that failed
     Descriptor file_;
-    std::map<MessageId, Entry> entries_;
+    std::map<MessageId, JournalEntry> entries_;
     std::set<std::string> bans_;
-    std::multimap<Wall, MessageId> over_;
+    std::multimap<PersistentTime, MessageId> over_;
     std::size_t unended_ = 0;
     std::uint64_t arrivals_ = 0;
 };
--- a/src/net/list_reader.cpp
+++ b/src/net/list_reader.cpp
@@ -5,8 +5,8 @@
 
 namespace lockgw {
 
-using cometspoke::settings::BadInput;
-using cometspoke::settings::field;
+using cometspoke::settings::InvalidInput;
+using cometspoke::settings::required_value;
 
 namespace {
 
@@ -39,16 +39,16 @@
 
 void ListReader::feed(std::string_view bytes) {
     bytes_ += bytes.size();
-    if (bytes_ > limits_.bytes) throw BadInput("more than " + std::to_string(limits_.bytes) + " bytes");
+    if (bytes_ > limits_.bytes) throw InvalidInput("more than " + std::to_string(limits_.bytes) + " bytes");
     for (const char byte : bytes) step(byte);
 }
 
 ListReader::Head ListReader::finish() {
     const Json frame = Json::parse(frame_);
-    if (place_ != Place::After) throw BadInput("members is not a list");
+    if (place_ != Place::After) throw InvalidInput("members is not a list");
     if (passed_over_ > kMostToldOfEntries)
         std::cerr << "discovery: passed over " << passed_over_ << " entries of the list in all\n";
-    return {field<std::int64_t>(frame, "revision"), field<bool>(frame, "complete")};
+    return {required_value<std::int64_t>(frame, "revision"), required_value<bool>(frame, "complete")};
 }
 
 void ListReader::step(char byte) {
@@ -69,7 +69,7 @@
 void ListReader::outside(char byte) {
     const bool between = is_space(byte) && !nesting_.in_string;
     if (between && frame_.ends_with(' ')) return;
-    if (frame_.size() >= kMostFrame) throw BadInput("no list of servers");
+    if (frame_.size() >= kMostFrame) throw InvalidInput("no list of servers");
     const bool was_in_string = nesting_.in_string;
     nesting_.step(byte);
     if (!was_in_string && nesting_.in_string && nesting_.depth == 1) name_at_ = frame_.size();
@@ -92,7 +92,7 @@
         place_ = Place::AfterEntry;
         return after_entry(byte);
     }
-    if (byte == ',' || byte == ']') throw BadInput("an entry is missing");
+    if (byte == ',' || byte == ']') throw InvalidInput("an entry is missing");
     entry_.clear();
     nesting_ = {};
     place_ = Place::InEntry;
@@ -105,7 +105,7 @@
         end_entry();
         return after_entry(byte);
     }
-    if (entry_.size() >= kMostEntry) throw BadInput("an entry of more than 64 KiB");
+    if (entry_.size() >= kMostEntry) throw InvalidInput("an entry of more than 64 KiB");
     nesting_.step(byte);
     entry_ += byte;
     if (nesting_.depth == 0 && !nesting_.in_string && (byte == '}' || byte == ']')) end_entry();
@@ -117,7 +117,7 @@
         place_ = Place::Entry;
         return;
     }
-    if (byte != ']') throw BadInput("no comma after an entry");
+    if (byte != ']') throw InvalidInput("no comma after an entry");
     place_ = Place::After;
     nesting_ = {};
     nesting_.depth = 1;  // in the outer object
@@ -127,11 +127,11 @@
 void ListReader::end_entry() {
     place_ = Place::AfterEntry;
     if (++entries_ > limits_.entries)
-        throw BadInput("more than " + std::to_string(limits_.entries) + " entries");
+        throw InvalidInput("more than " + std::to_string(limits_.entries) + " entries");
     const Json member = Json::parse(entry_);
-    Target target;
+    EndpointRecord target;
     try {
-        target = target_of(member);
+        target = parse_endpoint(member);
     } catch (const std::exception& bad) {
         return pass_over(member, bad);
     }
@@ -141,7 +141,7 @@
 void ListReader::pass_over(const Json& member, const std::exception& bad) {
     if (++passed_over_ <= kMostToldOfEntries)
         std::cerr << "discovery: passed over an entry: " << bad.what() << '\n';
-    if (auto gone = gone_target_of(member)) take_(std::move(*gone));
+    if (auto gone = parse_removed_endpoint(member)) take_(std::move(*gone));
 }
 
 }  // namespace lockgw
--- a/src/net/list_reader.hpp
+++ b/src/net/list_reader.hpp
@@ -6,13 +6,13 @@
 #include <string>
 #include <string_view>
 
-#include "target_list.hpp"
+#include "endpoint_list.hpp"
 
 namespace lockgw {
 
 class ListReader {
 public:
-    using Take = std::function<void(Target)>;
+    using Take = std::function<void(EndpointRecord)>;
     /// What stands around the entries.
     struct Head {
         std::int64_t revision = 0;
@@ -21,7 +21,7 @@
 
     ListReader(ListLimits limits, Take take);
 
-    /// The next bytes of the list. Throws BadInput or a JSON error once it cannot be a list, or is over a
+    /// The next bytes of the list. Throws InvalidInput or a JSON error once it cannot be a list, or is over a
     /// limit; what was taken before that must count for nothing then.
     void feed(std::string_view bytes);
     /// After the last byte. Throws where something is missing.
--- a/src/net/list_update.cpp
+++ b/src/net/list_update.cpp
@@ -13,9 +13,11 @@
 
 }  // namespace
 
-ListUpdate::ListUpdate(Directory& directory) : directory_(directory) { directory_.begin_comparison(); }
+ListUpdate::ListUpdate(EndpointDirectory& directory) : directory_(directory) {
+    directory_.begin_comparison();
+}
 
-void ListUpdate::take(Target target) {
+void ListUpdate::take(EndpointRecord target) {
     const bool same = directory_.compare(target);
     leaving_.erase(target.id);
     staying_.erase(target.id);
@@ -29,24 +31,24 @@
     if (complete) missing_from_ = 0;
 }
 
-std::optional<TargetList> ListUpdate::next() {
-    TargetList slice;
+std::optional<EndpointList> ListUpdate::next() {
+    EndpointList slice;
     if (!leaving_.empty()) {
         move_some(leaving_, slice);
     } else if (missing_from_) {
-        slice.targets = directory_.missing(missing_from_, kSlice);
+        slice.endpoints = directory_.missing(missing_from_, kSlice);
     } else if (!staying_.empty()) {
         move_some(staying_, slice);
     } else {
         return std::nullopt;
     }
-    slice.more = !leaving_.empty() || missing_from_ || !staying_.empty();
+    slice.has_more_batches = !leaving_.empty() || missing_from_ || !staying_.empty();
     return slice;
 }
 
-void ListUpdate::move_some(Changed& from, TargetList& slice) {
-    while (!from.empty() && slice.targets.size() < kSlice)
-        slice.targets.push_back(std::move(from.extract(from.begin()).mapped()));
+void ListUpdate::move_some(Changed& from, EndpointList& slice) {
+    while (!from.empty() && slice.endpoints.size() < kSlice)
+        slice.endpoints.push_back(std::move(from.extract(from.begin()).mapped()));
 }
 
 bool ListUpdate::discard_some() {
--- a/src/net/management.cpp
+++ b/src/net/management.cpp
@@ -26,16 +26,16 @@
 struct Known {
     std::string_view path;
     http::verb method;
-    Order order;
+    OperatorCommand order;
     bool names_endpoint;
 };
 constexpr Known kCalls[] = {
-    {"/ready", http::verb::get, Order::Ready, false},
-    {"/endpoints/disable", http::verb::post, Order::Disable, true},
-    {"/endpoints/enable", http::verb::post, Order::Enable, true},
-    {"/drain", http::verb::post, Order::Drain, false},
-    {"/undrain", http::verb::post, Order::Undrain, false},
-    {"/counters", http::verb::get, Order::Counters, false},
+    {"/ready", http::verb::get, OperatorCommand::Ready, false},
+    {"/endpoints/disable", http::verb::post, OperatorCommand::Disable, true},
+    {"/endpoints/enable", http::verb::post, OperatorCommand::Enable, true},
+    {"/drain", http::verb::post, OperatorCommand::Drain, false},
+    {"/undrain", http::verb::post, OperatorCommand::Undrain, false},
+    {"/counters", http::verb::get, OperatorCommand::Counters, false},
 };
 
 int hex_digit(char letter) {
@@ -74,18 +74,18 @@
 
 }  // namespace
 
-Verdict read_call(http::verb method, std::string_view target, OperatorCall& call) {
+OperatorReply parse_operator_call(http::verb method, std::string_view target, OperatorCall& call) {
     const std::size_t mark = std::min(target.find('?'), target.size());
     const std::string_view path = target.substr(0, mark);
     const auto known = std::find_if(
         std::begin(kCalls), std::end(kCalls), [path](const Known& one) { return one.path == path; });
     if (known == std::end(kCalls)) return {http::status::not_found, "no such call"};
     if (known->method != method) return {http::status::method_not_allowed, "not by this method"};
-    call.order = known->order;
+    call.command = known->order;
     if (!known->names_endpoint) return {};
     const auto who = value_of(target.substr(std::min(mark + 1, target.size())), "who");
     if (!who) return {http::status::bad_request, "who is missing"};
-    call.who = *who;
+    call.endpoint = *who;
     return {};
 }
 
@@ -124,9 +124,10 @@
         stream_.expires_never();
         OperatorCall call;
         const auto target = parser_.get().target();
-        const Verdict read = read_call(parser_.get().method(), {target.data(), target.size()}, call);
+        const OperatorReply read =
+            parse_operator_call(parser_.get().method(), {target.data(), target.size()}, call);
         if (read.status != http::status::ok) return answer(read);
-        owner_.handle_(call, [self = shared_from_this()](Verdict verdict) {
+        owner_.handle_(call, [self = shared_from_this()](OperatorReply verdict) {
             if (!self->closed_) self->answer(verdict);
         });
     }
@@ -136,7 +137,7 @@
         if (asked_ || !unreadable || failed == http::error::end_of_stream) return close();
         answer({http::status::bad_request, "not a call"});
     }
-    void answer(const Verdict& verdict) {
+    void answer(const OperatorReply& verdict) {
         asked_ = true;
         answer_ = {verdict.status, 11, verdict.text + "\n"};
         answer_.set(http::field::content_type, "text/plain");
@@ -146,7 +147,7 @@
         bytes_ = bytes_of(answer_);
         beast::error_code ignored;
         stream_.socket().non_blocking(true, ignored);
-        write_whole(stream_.socket(), bytes_, guarded([](ManagementSession& self) { self.finish(); }));
+        write_all(stream_.socket(), bytes_, guarded([](ManagementSession& self) { self.finish(); }));
     }
     /// Closing with bytes unread would reset the connection and might take the answer with it.
     void finish() {
--- a/src/net/management.hpp
+++ b/src/net/management.hpp
@@ -15,29 +15,30 @@
 
 namespace lockgw {
 
-enum class Order { Ready, Disable, Enable, Drain, Undrain, Counters };
+enum class OperatorCommand { Ready, Disable, Enable, Drain, Undrain, Counters };
 
 /// A call that is known; `who` is the endpoint of Disable and Enable.
 struct OperatorCall {
-    Order order = Order::Ready;
-    std::string who;
+    OperatorCommand command = OperatorCommand::Ready;
+    std::string endpoint;
 };
 /// Yes or no, and why in one line.
-struct Verdict {
+struct OperatorReply {
     boost::beast::http::status status = boost::beast::http::status::ok;
     std::string text;
 };
 
 /// The call that a request line asks for, or the no that it is owed.
-Verdict read_call(boost::beast::http::verb method, std::string_view target, OperatorCall& call);
+OperatorReply parse_operator_call(
+    boost::beast::http::verb method, std::string_view target, OperatorCall& call);
 
 class ManagementSession;
 
 class Management {
 public:
-    using Answer = std::function<void(Verdict)>;
+    using Reply = std::function<void(OperatorReply)>;
     /// Called for each known call; answers it once, in this call or later.
-    using Handle = std::function<void(const OperatorCall&, Answer)>;
+    using Handle = std::function<void(const OperatorCall&, Reply)>;
 
     /// Its own connections, whatever clients do, and the listener.
     static constexpr std::size_t kMostConnections = 16;
