--- a/src/net/peers.cpp
+++ b/src/net/peer_channel.cpp
@@ -1,4 +1,4 @@
-#include "peers.hpp"
+#include "peer_channel.hpp"
 
 #include <algorithm>
 #include <iostream>
@@ -6,10 +6,10 @@
 
 namespace lockgw {
 
-Peers::Peers(asio::io_context& io, const Config& config, Note note)
+PeerChannel::PeerChannel(asio::io_context& io, const Config& config, Receive note)
     : config_(config), note_(std::move(note)), socket_(io) {}
 
-void Peers::start() {
+void PeerChannel::start() {
     if (!config_.peer_listen) return;
     socket_.open(config_.peer_listen->protocol());
     socket_.bind(*config_.peer_listen);
@@ -17,12 +17,12 @@
     receive();
 }
 
-void Peers::stop() {
+void PeerChannel::stop() {
     boost::system::error_code ignored;
     socket_.close(ignored);
 }
 
-void Peers::receive() {
+void PeerChannel::receive() {
     socket_.async_receive_from(asio::buffer(in_), from_, [this](auto failed, std::size_t count) {
         if (failed == asio::error::operation_aborted) return;
         // an error here is an earlier datagram's that could not be delivered
@@ -33,7 +33,7 @@
     });
 }
 
-void Peers::tell(std::optional<std::size_t> to, const std::string& bytes) {
+void PeerChannel::send(std::optional<std::size_t> to, const std::string& bytes) {
     const auto address = !to                          ? config_.peers_all
                          : *to < config_.peers.size() ? std::optional(config_.peers[*to])
                                                       : std::nullopt;
--- a/src/net/peers.hpp
+++ b/src/net/peer_channel.hpp
@@ -10,16 +10,16 @@
 
 namespace lockgw {
 
-class Peers {
+class PeerChannel {
 public:
-    using Note = std::function<void(cometspoke::PeerNote)>;
+    using Receive = std::function<void(cometspoke::PeerMessage)>;
 
-    Peers(asio::io_context& io, const Config& config, Note note);
+    PeerChannel(asio::io_context& io, const Config& config, Receive note);
 
     void start();
     /// So that another process can bind the address.
     void stop();
-    void tell(std::optional<std::size_t> to, const std::string& bytes);
+    void send(std::optional<std::size_t> to, const std::string& bytes);
 
 private:
     void receive();
@@ -27,7 +27,7 @@
     static constexpr std::size_t kMostBytes = 256;  // a longer one is not allowed
 
     const Config& config_;
-    Note note_;
+    Receive note_;
     Udp::socket socket_;
     Udp::endpoint from_;
     std::array<char, kMostBytes + 1> in_{};
--- a/src/net/lasting_clock.cpp
+++ b/src/net/persistent_clock.cpp
@@ -1,4 +1,4 @@
-#include "lasting_clock.hpp"
+#include "persistent_clock.hpp"
 
 #include "file_io.hpp"
 
@@ -24,11 +24,11 @@
 
 }  // namespace
 
-LastingClock::LastingClock() : epoch_{read_boot_id(), wall_now() - monotonic_now()} {}
+PersistentClock::PersistentClock() : epoch_{read_boot_id(), wall_now() - monotonic_now()} {}
 
-Wall LastingClock::now() const { return Wall(monotonic_now() + epoch_.offset); }
+PersistentTime PersistentClock::now() const { return PersistentTime(monotonic_now() + epoch_.offset); }
 
-void LastingClock::resume(const Epoch& earlier) {
+void PersistentClock::resume(const Epoch& earlier) {
     if (!earlier.boot_id.empty() && earlier.boot_id == epoch_.boot_id) epoch_ = earlier;
 }
 
--- a/src/net/answer.cpp
+++ b/src/net/response_reader.cpp
@@ -1,4 +1,4 @@
-#include "answer.hpp"
+#include "response_reader.hpp"
 
 #include <algorithm>
 #include <boost/algorithm/string/predicate.hpp>
@@ -40,17 +40,17 @@
 }
 
 Outcome outcome_of(const std::string& state) {
-    if (state == "ok") return Outcome::Served;
+    if (state == "ok") return Outcome::Delivered;
     if (state == "error") return Outcome::ServerError;
-    if (state == "later") return Outcome::TurnedAway;
-    return state == "gone" || state == "exhausted" ? Outcome::NotSent : Outcome::Unreadable;
+    if (state == "later") return Outcome::Rejected;
+    return state == "gone" || state == "exhausted" ? Outcome::NotSent : Outcome::MalformedResponse;
 }
 
 /// How each message ended, as far as it can be read; a message told of twice has no sure end.
 std::map<cometspoke::MessageId, std::string> states_of(const std::string& body) try {
     std::map<cometspoke::MessageId, std::string> states;
     for (const auto& one : nlohmann::json::parse(body)) {
-        const auto id = cometspoke::settings::id_of(one.at("id").get<std::string>());
+        const auto id = cometspoke::settings::parse_message_id(one.at("id").get<std::string>());
         const auto [told, fresh] = states.emplace(id, one.at("state").get<std::string>());
         if (!fresh) told->second.clear();
     }
@@ -79,7 +79,7 @@
     return cometspoke::LoadReport{std::min(*left, 1.0), *limit};
 }
 
-void Answer::next() {
+void ResponseReader::next() {
     parser_ = std::make_unique<http::response_parser<OptionalBody>>();
     parser_->get().body().kept = keep_body_;
     parser_->eager(true);
@@ -90,7 +90,7 @@
 }
 
 /// By itself, ahead of the parser: that one reads a head only when all of it has come.
-void Answer::read_first_line() {
+void ResponseReader::read_first_line() {
     const std::string_view bytes = bytes_;
     if (bytes.substr(0, kVersion.size()) != kVersion.substr(0, bytes.size())) {
         spoilt();  // no need to wait for the end of noise
@@ -107,7 +107,7 @@
 
 /// Also by itself, line by line as they come: a wait binds too where the head never ends or is spoilt behind
 /// it. Of two the longer counts.
-void Answer::read_wait() {
+void ResponseReader::read_wait() {
     constexpr std::string_view name = "Retry-After:";
     if (first_line_ != 429u && !(keep_body_ && first_line_ == 200u)) return;
     const std::string_view bytes = bytes_;
@@ -122,7 +122,7 @@
     }
 }
 
-Answer::State Answer::feed(std::string_view bytes) {
+ResponseReader::State ResponseReader::feed(std::string_view bytes) {
     if (state_ == State::Spoilt) return state_;
     bytes_.append(bytes);
     empty_ = empty_ && bytes_.empty();
@@ -148,7 +148,7 @@
     return state_;
 }
 
-Answer::State Answer::ended() {
+ResponseReader::State ResponseReader::ended() {
     if (state_ != State::Open) return state_;
     if (!head_read()) return spoilt();  // a parser that has read nothing would call it done, and say 200
     boost::beast::error_code failed;
@@ -157,24 +157,25 @@
     return state_ = State::Whole;
 }
 
-std::optional<Time> Answer::told_wait(Time longest) const {
+std::optional<Time> ResponseReader::told_wait(Time longest) const {
     if (!wait_s_) return std::nullopt;
     return std::min(Time(static_cast<Time::rep>(*wait_s_ * 1e6)), longest);
 }
 
-OutcomeEvent Answer::outcome(bool reports) const {
+OutcomeEvent ResponseReader::outcome(bool reports) const {
     OutcomeEvent event;
     const auto& head = parser_->get().base();
     switch (head.result_int()) {
         case 200:
-            event.outcome = Outcome::Served, event.terminal = true;
+            event.outcome = Outcome::Delivered, event.terminal = true;
             break;
         case 429:
-            event.outcome = Outcome::TurnedAway;
+            event.outcome = Outcome::Rejected;
             break;
         case 503:
-            event.outcome = head["X-Over-Slots"] == "1" ? Outcome::NotSent : Outcome::TurnedAway;
-            event.no_connections = event.outcome == Outcome::TurnedAway && !parser_->get().keep_alive();
+            event.outcome = head["X-Over-Slots"] == "1" ? Outcome::NotSent : Outcome::Rejected;
+            event.connection_limit_reached =
+                event.outcome == Outcome::Rejected && !parser_->get().keep_alive();
             break;
         case 504:
             event.outcome = Outcome::NotSent;
@@ -189,7 +190,7 @@
     return event;
 }
 
-std::vector<OutcomeEvent> Answer::outcomes(
+std::vector<OutcomeEvent> ResponseReader::outcomes(
     const std::vector<cometspoke::MessageId>& messages, bool reports) const {
     OutcomeEvent event = outcome(reports);
     const unsigned status = parser_->get().result_int();
--- a/src/net/answer.hpp
+++ b/src/net/response_reader.hpp
@@ -46,7 +46,7 @@
     };
 };
 
-class Answer {
+class ResponseReader {
 public:
     enum class State {
         Open,    ///< more must come
@@ -55,7 +55,7 @@
     };
 
     /// `keep_body`: to a call with several messages; the body tells how each one ended.
-    explicit Answer(bool keep_body = false) : keep_body_(keep_body) { next(); }
+    explicit ResponseReader(bool keep_body = false) : keep_body_(keep_body) { next(); }
 
     State feed(std::string_view bytes);
     /// The connection ended: the end of an answer that tells no length.
--- a/src/net/socket_io.cpp
+++ b/src/net/socket_io.cpp
@@ -27,7 +27,7 @@
     return is_shortage(std::error_code(error)) ? SocketResult::LocalShortage : SocketResult::Broken;
 }
 
-bool is_local(SocketResult result) {
+bool is_local_error(SocketResult result) {
     return result == SocketResult::TryAgain || result == SocketResult::LocalShortage ||
            result == SocketResult::NoRoute;
 }
--- a/src/net/socket_io.hpp
+++ b/src/net/socket_io.hpp
@@ -32,7 +32,7 @@
 
 SocketResult classify(const boost::system::error_code& error);
 /// Says nothing of the other side, and may pass by itself.
-bool is_local(SocketResult result);
+bool is_local_error(SocketResult result);
 
 struct ReadResult {
     SocketResult result = SocketResult::Done;  ///< Done, NotReady, PeerClosed or Broken
@@ -111,7 +111,7 @@
 };
 
 template <class Done>
-void write_whole(boost::asio::ip::tcp::socket& socket, const std::string& bytes, Done done) {
+void write_all(boost::asio::ip::tcp::socket& socket, const std::string& bytes, Done done) {
     std::make_shared<WriteOperation<Done>>(socket, boost::asio::buffer(bytes), std::move(done))->start();
 }
 
--- a/src/net/system_errors.cpp
+++ b/src/net/system_errors.cpp
@@ -22,7 +22,7 @@
     return is_one_of(shortages, error);
 }
 
-bool may_pass(const std::error_code& error) {
+bool is_transient(const std::error_code& error) {
     static constexpr std::array passing{std::errc::interrupted, std::errc::resource_unavailable_try_again,
         std::errc::io_error, std::errc::no_lock_available, std::errc::network_unreachable,
         std::errc::network_down, std::errc::connection_aborted};
--- a/src/logic.cpp
+++ b/src/sender.cpp
@@ -1,5 +1,7 @@
 // The decisions of cometspoke (interface: include/cometspoke/sender.hpp). The ordinary path is mClock's tag
 // scheduler with the tags R, L and P. All else acts only under the condition that its comment names.
+#include "cometspoke/sender.hpp"
+
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -8,11 +10,10 @@
 #include <stdexcept>
 #include <utility>
 
-#include "cometspoke/sender.hpp"
 #include "counted_values.hpp"
 #include "key_sequencer.hpp"
-#include "learned_fields.hpp"
-#include "learned_figures.hpp"
+#include "learned_state_fields.hpp"
+#include "learned_state_io.hpp"
 #include "share_queue.hpp"
 #include "time_index.hpp"
 #include "time_math.hpp"
@@ -79,7 +80,7 @@
 constexpr double kOtherZone = 0.4;      // and another zone as so many
 constexpr double kFee = 20.0;           // and a fee of one point for each message as so many
 constexpr Time kRecent{60'000'000};     // after a failed connect: allowances of connections seldom change
-constexpr double kRoomKept = 0.1;       // share of most_held kept free for worth
+constexpr double kRoomKept = 0.1;       // share of max_held_messages kept free for worth
 constexpr double kLeastDrain = 1.5;     // messages a second that any destination takes from all senders
 constexpr Time kLongStall{60'000'000};  // a stall longer than any deadline is as good as this
 constexpr Time kQuotaBurst{1'000'000};  // a tenant's quota may come this far at once
@@ -106,7 +107,7 @@
     DestinationId destination = 0;
     std::size_t zone = 0;
     std::size_t kind = 0;
-    Condition condition = Condition::Gone;
+    Condition condition = Condition::Removed;
     Route own;  // used where routes are apart
     int in_flight = 0;
     std::vector<Time> idle;  // when each idle connection closes
@@ -178,9 +179,9 @@
 
 }  // namespace
 
-class Sender::Logic {
+class Sender::Impl {
 public:
-    Logic(Settings settings, std::uint64_t seed) : random_(seed) {
+    Impl(Settings settings, std::uint64_t seed) : random_(seed) {
         adopt(std::move(settings));
         if (settings_.must_subscribe) watch_at_ = kLongAgo;
     }
@@ -197,16 +198,16 @@
             if (entry.kind >= settings_.kinds.size()) throw std::invalid_argument("kind");
             if (entry.zone >= std::max<std::size_t>(1, settings_.zones)) throw std::invalid_argument("zone");
         }
-        if (event.kind == ListKind::Failed) {
+        if (event.kind == ListUpdateKind::Failed) {
             const double spread = std::uniform_real_distribution<double>(0.5, 1.0)(random_);
             watch_at_ = now + from_seconds(seconds(kWatchGap) * (1 << watch_tries_) * spread);
             watch_tries_ = std::min(watch_tries_ + 1, kWatchDoublings);
             return;
         }
-        if (event.kind != ListKind::Cached) watch_tries_ = 0;
-        if (event.kind != ListKind::Changes)
+        if (event.kind != ListUpdateKind::Cached) watch_tries_ = 0;
+        if (event.kind != ListUpdateKind::Delta)
             for (auto& [id, endpoint] : endpoints_) {
-                endpoint.condition = Condition::Gone;
+                endpoint.condition = Condition::Removed;
                 destinations_.at(endpoint.destination).endpoints.erase(id);
                 gone_.insert(id);
                 queue_.reopen(endpoint.destination);
@@ -215,9 +216,9 @@
     }
 
     // Out by hand: nothing new goes there. It is restarted meanwhile: each sender takes it as an outage.
-    void take(const BanEvent& event, Time now) {
+    void take(const AdminDisableEvent& event, Time now) {
         const auto found = endpoints_.find(event.endpoint);
-        if (event.on) {
+        if (event.disabled) {
             if (!banned_.insert(event.endpoint).second) return;
             if (found != endpoints_.end()) found->second.idle.clear();
             actions_.emplace_back(CloseIdle{event.endpoint});
@@ -228,35 +229,36 @@
     }
 
     void take(const MessageEvent& event, Time now) {
-        if (!event.terms && event.message_class >= classes_.size())
+        if (!event.class_settings && event.message_class >= classes_.size())
             throw std::invalid_argument("message_class");
         if (event.tenant && *event.tenant >= quota_tags_.size()) throw std::invalid_argument("tenant");
         if (messages_.contains(event.message)) return;
         Message message;
-        message.terms =
-            event.terms ? std::make_shared<const ClassSettings>(*event.terms) : classes_[event.message_class];
+        message.terms = event.class_settings ? std::make_shared<const ClassSettings>(*event.class_settings)
+                                             : classes_[event.message_class];
         const ClassSettings& kind = *message.terms;
         message.destination = event.destination;
         message.arrival = ++arrivals_;
-        message.born = now + event.left - kind.deadline;
-        message.deadline = now + event.left;
+        message.born = now + event.time_left - kind.deadline;
+        message.deadline = now + event.time_left;
         message.over_share = event.tenant && over_quota(*event.tenant, now);
         message.attempts = event.attempts;  // a restart changes nothing in what may have run
-        if (event.doubt) {
-            message.doubt_since = now - event.doubt->age;
-            doubt_at(message, event.doubt->endpoint);
+        if (event.ambiguous_attempt) {
+            message.doubt_since = now - event.ambiguous_attempt->age;
+            doubt_at(message, event.ambiguous_attempt->endpoint);
         }
         if (kind.sequential && event.key) {
             message.key = event.key;
             keys_.add(*event.key, event.message);
-            if (event.doubt) keys_.rest(*event.key, event.message, now + settings_.settle_after_doubt);
+            if (event.ambiguous_attempt)
+                keys_.rest(*event.key, event.message, now + settings_.ambiguous_settle_time);
         }
         Destination& destination = destination_of(event.destination);
         const double age = seconds(now - std::exchange(destination.asked_at, now));
         destination.asked = (destination.asked * kMemory_s * std::exp(-age / kMemory_s) + 1.0) / kMemory_s;
         destination.held.emplace(message.arrival, event.message);
         if (brings_news(message)) ++destination.repeatable;
-        destination.aims.add(kind.aim);
+        destination.aims.add(kind.target_latency);
         reindex(event.message, message, now);
         messages_.emplace(event.message, message);
         if (destination.held.size() == 1) activate(event.destination, destination, now);
@@ -271,9 +273,10 @@
         Call& call = calls_.at(call_id);
         Endpoint& endpoint = endpoints_.at(call.endpoint);
         queue_.reopen(endpoint.destination);
-        take(WaitTold{call.endpoint, event.wait}, now);  // each message of a call may be told its own
+        take(RetryAfterEvent{call.endpoint, event.retry_after},
+            now);  // each message of a call may be told its own
         const bool unsent = event.outcome == Outcome::NotSent || event.outcome == Outcome::Withheld;
-        if (event.no_connections) unconnected_[endpoint.kind] = now;  // idle ones are in the way
+        if (event.connection_limit_reached) unconnected_[endpoint.kind] = now;  // idle ones are in the way
         if (!call.judged && !unsent) {
             call.judged = true;
             learn(call, event.outcome, event.report, event.rtt, now);
@@ -282,23 +285,24 @@
         if (--call.out == 0) {
             --endpoint.in_flight;
             --destinations_.at(endpoint.destination).in_flight;
-            const bool lives = event.outcome == Outcome::Served || event.outcome == Outcome::ServerError ||
-                               event.outcome == Outcome::TurnedAway || event.outcome == Outcome::Withheld;
-            if (lives) endpoint.idle.push_back(now + settings_.conn_idle), freed_.insert(ended.endpoint);
+            const bool lives = event.outcome == Outcome::Delivered || event.outcome == Outcome::ServerError ||
+                               event.outcome == Outcome::Rejected || event.outcome == Outcome::Withheld;
+            if (lives)
+                endpoint.idle.push_back(now + settings_.connection_idle_limit), freed_.insert(ended.endpoint);
             calls_.erase(call_id);
         }
         settle(event, ended, now);
     }
 
-    void take(const WaitTold& event, Time now) {
+    void take(const RetryAfterEvent& event, Time now) {
         const auto found = endpoints_.find(event.endpoint);
-        if (found == endpoints_.end() || event.wait <= Time(0)) return;
+        if (found == endpoints_.end() || event.retry_after <= Time(0)) return;
         Route& route = route_of(found->second);
-        route.wait_until = std::max(route.wait_until, now + event.wait);
+        route.wait_until = std::max(route.wait_until, now + event.retry_after);
     }
 
     // The call is the other process's, its slot and its outcomes are of this one.
-    void take(const CallHandedOn& event, Time now) {
+    void take(const InheritedCall& event, Time now) {
         if (event.attempts.empty()) return;
         const auto [place, unlisted] = endpoints_.try_emplace(event.endpoint);
         Endpoint& endpoint = place->second;
@@ -321,8 +325,8 @@
         }
     }
 
-    void take(const Learned& event, Time now) {
-        FigureReader reader{event.figures, now};
+    void take(const LearnedState& event, Time now) {
+        FigureReader reader{event.values, now};
         if (event.endpoint) {
             const auto found = endpoints_.find(*event.endpoint);
             if (found == endpoints_.end()) return;
@@ -338,11 +342,11 @@
         }
     }
 
-    std::vector<Learned> learned(Time now) const {
-        std::vector<Learned> all;
+    std::vector<LearnedState> learned(Time now) const {
+        std::vector<LearnedState> all;
         const auto tell = [&](auto endpoint, auto destination, const auto& what) {
             all.push_back({endpoint, destination, {}});
-            FigureWriter writer{all.back().figures, now};
+            FigureWriter writer{all.back().values, now};
             each_figure(what, writer);
         };
         for (const auto& [id, endpoint] : endpoints_) tell(std::optional(id), std::nullopt, endpoint);
@@ -375,7 +379,7 @@
         drop_stuck(now);
         keep_room(now);
         queue_.reopen_due(now);
-        while (calls_.size() < settings_.slots) {
+        while (calls_.size() < settings_.max_calls) {
             const std::optional<Pick> pick = choose(now);
             if (!pick) break;
             serve(*pick, now);
@@ -412,16 +416,16 @@
         endpoint.zone = entry.zone;
         endpoint.kind = entry.kind;
         endpoint.condition = entry.condition;
-        if (entry.condition == Condition::Gone)
+        if (entry.condition == Condition::Removed)
             gone_.insert(entry.endpoint), destination.endpoints.erase(entry.endpoint);
         else
             gone_.erase(entry.endpoint), destination.endpoints.insert(entry.endpoint);
         queue_.reopen(entry.destination);
         if (!settings_.listed_rates) return;
-        if (entry.rate > 0) destination.weight = entry.rate;
+        if (entry.agreed_rate_per_s > 0) destination.weight = entry.agreed_rate_per_s;
         Route& route = apart(endpoint) ? endpoint.own : destination.shared;
-        if (route.known != 0.0 || entry.rate <= 0) return;
-        route.known = entry.rate;
+        if (route.known != 0.0 || entry.agreed_rate_per_s <= 0) return;
+        route.known = entry.agreed_rate_per_s;
         // as if all had long been sending: one send each at once would be n of them
         const double phase = std::uniform_real_distribution<double>(0.0, others())(random_);
         route.limit_tag = now - kStartBurst + from_seconds(phase / limit(route, destination));
@@ -456,7 +460,7 @@
             leave(endpoint, id);
             endpoints_.erase(id);
             banned_.erase(id);
-            actions_.emplace_back(Forget{id});
+            actions_.emplace_back(ReleaseEndpoint{id});
             return true;
         });
         std::erase_if(unnamed_, [&](DestinationId id) {
@@ -485,7 +489,7 @@
             if (endpoint.condition != Condition::Ready || banned_.contains(id)) continue;
             Time opens = std::max(now, route_of(endpoint).wait_until);
             if (endpoint.health != Health::Well) opens = std::max(opens, endpoint.cold_tag);
-            if (settings_.floor_per_s <= 0) opens = std::max(opens, route_of(endpoint).limit_tag);
+            if (settings_.reservation_per_s <= 0) opens = std::max(opens, route_of(endpoint).limit_tag);
             until = std::min(until, opens);
         }
         return until;
@@ -493,7 +497,7 @@
 
     // First the smallest R tag due; else the smallest P tag among destinations whose L tag is due.
     std::optional<Pick> choose(Time now) {
-        reserved_ = settings_.floor_per_s > 0;
+        reserved_ = settings_.reservation_per_s > 0;
         if (reserved_)
             if (const auto pick = smallest(false, now)) return pick;
         reserved_ = false;
@@ -521,7 +525,7 @@
 
     // The slot cap: three quarters, and half while it fails or is slow.
     bool has_room(const Destination& destination) const {
-        const double slots = static_cast<double>(settings_.slots);
+        const double slots = static_cast<double>(settings_.max_calls);
         if (destination.in_flight > 0 && destination.in_flight + 1 >= kCapShare * slots) return false;
         return destination.in_flight == 0 || !ailing(destination) ||
                destination.in_flight + 1 <= kSickShare * slots;
@@ -531,7 +535,7 @@
     bool has_room(const Endpoint& endpoint) const {
         const Destination& destination = destinations_.at(endpoint.destination);
         if (!ailing(endpoint, destination)) return true;
-        const double slots = static_cast<double>(settings_.slots);
+        const double slots = static_cast<double>(settings_.max_calls);
         // one trial each while slots are left: after a stall of all, stuck calls must not keep them unheard
         const int out = apart(endpoint) ? endpoint.in_flight : destination.in_flight;
         if (out == 0 && static_cast<double>(calls_.size()) < kScarce * slots) return true;
@@ -555,7 +559,7 @@
         ++endpoint.in_flight;
         ++destination.in_flight;
         take_connection(endpoint, now);
-        endpoint.often = now - std::exchange(endpoint.used, now) < settings_.conn_idle;
+        endpoint.often = now - std::exchange(endpoint.used, now) < settings_.connection_idle_limit;
         send(pick.message, pick.endpoint, call_id, now);
         fill_call(destination, pick.endpoint, call_id, now);
         step_tags(destination, endpoint, now);
@@ -568,8 +572,8 @@
         const double w = destination.weight;
         const Time share = queue_.tag(endpoint.destination) + gap_of(w);
         queue_.set_tag(endpoint.destination, std::max(share, now - from_seconds(kSigma / w)));
-        if (settings_.floor_per_s <= 0) return;
-        const Time step = gap_of(settings_.floor_per_s);
+        if (settings_.reservation_per_s <= 0) return;
+        const Time step = gap_of(settings_.reservation_per_s);
         destination.reservation_tag = std::max(destination.reservation_tag + step, now);
         if (!reserved_) destination.reservation_tag -= step;  // served by share: 1/r is taken off again
     }
@@ -582,14 +586,14 @@
         ++calls_.at(call_id).out;
         reindex(id, message, now);
         if (message.key) keys_.begin_attempt(*message.key);
-        const bool bound = message.doubt_since && message.terms->effect == Effect::Dedup;
+        const bool bound = message.doubt_since && message.terms->delivery == DeliverySemantics::Deduplicated;
         const auto within = bound ? std::optional(resend_until(message) - now) : std::nullopt;
         actions_.emplace_back(Send{id, to, time_out(message, now), within});
     }
 
     // Where a call may carry several messages, the next ones in order travel along.
     void fill_call(Destination& destination, EndpointId to, std::uint64_t call_id, Time now) {
-        const std::size_t most = settings_.kinds[endpoints_.at(to).kind].per_call;
+        const std::size_t most = settings_.kinds[endpoints_.at(to).kind].max_messages_per_call;
         if (most < 2 || endpoints_.at(to).health == Health::Sick) return;
         for (const auto& [arrival, id] : destination.held) {
             if (calls_.at(call_id).out >= most) return;
@@ -646,9 +650,9 @@
 
     Time resend_until(const Message& message) const {
         const ClassSettings& kind = *message.terms;
-        if (kind.effect == Effect::Retryable) return kNever;
-        if (kind.effect == Effect::Fragile) return kLongAgo;
-        return *message.doubt_since + kind.window - kDedupMargin;
+        if (kind.delivery == DeliverySemantics::Retryable) return kNever;
+        if (kind.delivery == DeliverySemantics::AtMostOnce) return kLongAgo;
+        return *message.doubt_since + kind.dedup_window - kDedupMargin;
     }
 
     std::optional<EndpointId> endpoint_for(
@@ -668,8 +672,8 @@
     double cost_of(const Endpoint& endpoint, Time now) const {
         double cost = endpoint.in_flight;
         if (!has_idle(endpoint, now)) cost += kNewConnection;
-        if (apart(endpoint) && endpoint.zone < settings_.zone_fees.size())
-            cost += kFee * settings_.zone_fees[endpoint.zone];
+        if (apart(endpoint) && endpoint.zone < settings_.zone_costs.size())
+            cost += kFee * settings_.zone_costs[endpoint.zone];
         else if (settings_.zone && endpoint.zone != *settings_.zone)
             cost += kOtherZone;
         if (endpoint.health != Health::Well) cost += 1.0;
@@ -690,7 +694,7 @@
 
     // One with a key may have to wait for a fragile one before it.
     static bool brings_news(const Message& message) {
-        return message.terms->effect != Effect::Fragile && !message.key;
+        return message.terms->delivery != DeliverySemantics::AtMostOnce && !message.key;
     }
     // An endpoint that fails is probed with fragile messages only where no other message can bring news: one
     // at a time, at the pace of the fall-back budget. Each call that hangs doubles the pause before the next.
@@ -706,8 +710,10 @@
         const ClassSettings& kind = *message.terms;
         const Endpoint& endpoint = endpoints_.at(to);
         const bool fails = endpoint.failing > kFragileBar || endpoint.health == Health::Sick;
-        if (kind.effect == Effect::Fragile && fails && !may_probe(endpoint, now)) return false;
-        if (kind.effect != Effect::Dedup || !message.doubt_since || kind.dedup_scope == DedupScope::All)
+        if (kind.delivery == DeliverySemantics::AtMostOnce && fails && !may_probe(endpoint, now))
+            return false;
+        if (kind.delivery != DeliverySemantics::Deduplicated || !message.doubt_since ||
+            kind.dedup_scope == DedupScope::All)
             return true;
         if (kind.dedup_scope == DedupScope::Endpoint) return message.doubt_at == to;
         const auto first = message.doubt_at ? endpoints_.find(*message.doubt_at) : endpoints_.end();
@@ -716,7 +722,7 @@
 
     // Calls that can be dropped later, and those that may not be repeated, are waited for to the end.
     Time time_out(const Message& message, Time now) const {
-        const bool wait = settings_.cancel || message.terms->effect == Effect::Fragile;
+        const bool wait = settings_.can_cancel || message.terms->delivery == DeliverySemantics::AtMostOnce;
         const Time left = message.deadline - now;
         return wait ? left : std::min(left, patience(destinations_.at(message.destination)));
     }
@@ -739,8 +745,8 @@
     // that leave a silent endpoint no room for a probe.
     void drop_stuck(Time now) {
         sick_calls_.reset();
-        if (!settings_.cancel) return;
-        const auto slots = static_cast<double>(settings_.slots), out = static_cast<double>(calls_.size());
+        if (!settings_.can_cancel) return;
+        const auto slots = static_cast<double>(settings_.max_calls), out = static_cast<double>(calls_.size());
         const bool jammed = out > kScarce * slots;
         const bool scarce = jammed || sick_calls() + 1 > kSickShare * slots;
         std::map<EndpointId, std::pair<std::uint64_t, Time>> oldest_newest;  // calls are numbered by age
@@ -767,9 +773,11 @@
     }
     bool may_repeat(const Message& message, const Call& call, Time now) const {
         const ClassSettings& kind = *message.terms;
-        if (message.attempts >= settings_.max_attempts || kind.effect == Effect::Fragile) return false;
-        if (kind.effect == Effect::Retryable) return true;
-        return now + kDropTrip < std::min(call.sent, message.doubt_since.value_or(call.sent)) + kind.window;
+        if (message.attempts >= settings_.max_attempts || kind.delivery == DeliverySemantics::AtMostOnce)
+            return false;
+        if (kind.delivery == DeliverySemantics::Retryable) return true;
+        return now + kDropTrip <
+               std::min(call.sent, message.doubt_since.value_or(call.sent)) + kind.dedup_window;
     }
 
     // The connection used last is taken first; the freshest closes last.
@@ -792,7 +800,7 @@
         }
     }
 
-    bool apart(const Endpoint& endpoint) const { return settings_.kinds[endpoint.kind].routes_apart; }
+    bool apart(const Endpoint& endpoint) const { return settings_.kinds[endpoint.kind].limits_per_endpoint; }
     Route& route_of(Endpoint& endpoint) {
         return apart(endpoint) ? endpoint.own : destinations_.at(endpoint.destination).shared;
     }
@@ -826,7 +834,7 @@
         return std::max(kLeastCapacity, destination.taken_rate * senders());
     }
     double others() const { return 1.0 - 1.0 / senders(); }  // share of the senders that are not this one
-    double senders() const { return static_cast<double>(settings_.n_instances); }
+    double senders() const { return static_cast<double>(settings_.instance_count); }
     double usual(const Destination& destination) const {
         const double known = destination.usual > 0 ? destination.usual : overall_usual_;
         return std::max(known > 0 ? known : seconds(kFirstUsual), seconds(kLeastUsual));
@@ -838,34 +846,36 @@
         const Time sent = call.sent;
         Endpoint& endpoint = endpoints_.at(id);
         Route& route = route_of(endpoint);
-        if (report && report->limit > 0) route.known = report->limit;
-        if (outcome == Outcome::CalledOff) return;  // our own doing: it says nothing new of the endpoint
+        if (report && report->limit_per_s > 0) route.known = report->limit_per_s;
+        if (outcome == Outcome::Cancelled) return;  // our own doing: it says nothing new of the endpoint
         if (outcome == Outcome::ConnectionLost) endpoint.lost_at = now;
-        if (outcome == Outcome::Unreadable || outcome == Outcome::ConnectionLost) return spoil(endpoint, now);
-        if (outcome == Outcome::Served) {
+        if (outcome == Outcome::MalformedResponse || outcome == Outcome::ConnectionLost)
+            return spoil(endpoint, now);
+        if (outcome == Outcome::Delivered) {
             // it lives, and refused a connect while this call was out: its connections are used up
             if (sent < endpoint.unconnected_at) unconnected_[endpoint.kind] = now;
             for (auto& [other_id, other] : calls_)
                 if (other.endpoint == id && other.sent < sent) other.overtaken = true;
-            return succeed(id, report ? report->left : 0.0, rtt, now);
+            return succeed(id, report ? report->remaining_share : 0.0, rtt, now);
         }
-        const bool shut = outcome == Outcome::TurnedAway &&
-                          (route.wait_until > now + kLongWait || (report && report->left > kRoomLeft));
+        const bool shut =
+            outcome == Outcome::Rejected &&
+            (route.wait_until > now + kLongWait || (report && report->remaining_share > kRoomLeft));
         // what is shut or sick refuses for another reason than its limit
-        if (outcome == Outcome::TurnedAway && !shut && endpoint.health != Health::Sick)
+        if (outcome == Outcome::Rejected && !shut && endpoint.health != Health::Sick)
             lower_limit(route, endpoint, now);
-        const bool no_room = outcome == Outcome::NoConnection && now - sent < kSlowConnect;
+        const bool no_room = outcome == Outcome::ConnectFailed && now - sent < kSlowConnect;
         if (no_room) endpoint.unconnected_at = now;
         // calls that broke off, then a refused connect: the process died
         const bool died = no_room && endpoint.lost_at > endpoint.last_good;
         if (died) endpoint.failing = 1.0;
-        if (!died && ((outcome == Outcome::TurnedAway && !shut) || no_room)) {
-            if (report && report->limit > 0) return;  // its limit is used up: no outage
+        if (!died && ((outcome == Outcome::Rejected && !shut) || no_room)) {
+            if (report && report->limit_per_s > 0) return;  // its limit is used up: no outage
             // refusals of calls sent before the last one was known are the same piece of news
             if (sent <= endpoint.refused_at) return;
             endpoint.refused_at = now;
             if (++endpoint.refused_row < kShutRefusals) return;
-            if (outcome == Outcome::TurnedAway) forget_refusals(route, now);
+            if (outcome == Outcome::Rejected) forget_refusals(route, now);
         }
         endpoint.failing += news(endpoint, now) * (1.0 - endpoint.failing);
         endpoint.failure_seen = true;
@@ -973,13 +983,13 @@
             endpoint.health = endpoint.failure_seen ? Health::Returning : Health::Well;
             endpoint.returned = now;
         }
-        if (endpoint.health == Health::Returning && now - endpoint.returned >= settings_.warm_within)
+        if (endpoint.health == Health::Returning && now - endpoint.returned >= settings_.warm_up_time)
             endpoint.health = Health::Well;
         if (endpoint.health == Health::Well) endpoint.failure_seen = false;
     }
 
     // The fall-back budget as a limit tag: own part of multiple x present capacity, which rises evenly from
-    // cold_from after the first success or a told opening. Spread, lest senders come back together.
+    // cold_capacity_share after the first success or a told opening. Spread, lest senders come back together.
     void spend_budget(Endpoint& endpoint, Time now) {
         const Destination& destination = destinations_.at(endpoint.destination);
         double present = capacity(route_of(endpoint), destination);
@@ -993,19 +1003,20 @@
             const double told = 1.0 - std::exp(-destination.asked * seconds(out));
             endpoint.knowing = std::max({kLeastKnowing, endpoint.knowing, told});
         }
-        const double rate = kBudgetUse * settings_.fall_multiple * settings_.cold_from * present /
-                            (senders() * endpoint.knowing);
+        const double rate = kBudgetUse * settings_.overload_multiple * settings_.cold_capacity_share *
+                            present / (senders() * endpoint.knowing);
         const bool answers = endpoint.health == Health::Returning && endpoint.last_good > endpoint.fell;
-        const double longest = answers ? 1e6 : seconds(settings_.fall) * senders() / kLeastTrials;
+        const double longest = answers ? 1e6 : seconds(settings_.overload_window) * senders() / kLeastTrials;
         const double step =
             std::uniform_real_distribution<double>(0.5, 1.5)(random_) * std::min(1.0 / rate, longest);
         // not heard of for a warm-up and a half: it may well be back
         const Time back = endpoint.health == Health::Returning
                               ? endpoint.returned
-                              : endpoint.heard + 3 * settings_.warm_within / 2;
+                              : endpoint.heard + 3 * settings_.warm_up_time / 2;
         double gap = step;
-        if (const double warm = seconds(settings_.warm_within); warm > 0 && settings_.cold_from < 1) {
-            const double rise = (1.0 / settings_.cold_from - 1.0) / warm;
+        if (const double warm = seconds(settings_.warm_up_time);
+            warm > 0 && settings_.cold_capacity_share < 1) {
+            const double rise = (1.0 / settings_.cold_capacity_share - 1.0) / warm;
             const double flat = std::clamp(seconds(back - from), 0.0, step);
             const double since = std::max(0.0, seconds(from - back));
             const double due = since + rise * since * since / 2.0 + step - flat;
@@ -1040,14 +1051,14 @@
     }
 
     void settle(const OutcomeEvent& event, const Call& call, Time now) {
-        const bool never_ran = event.outcome == Outcome::TurnedAway ||
-                               event.outcome == Outcome::NoConnection || event.outcome == Outcome::NotSent ||
+        const bool never_ran = event.outcome == Outcome::Rejected ||
+                               event.outcome == Outcome::ConnectFailed || event.outcome == Outcome::NotSent ||
                                event.outcome == Outcome::Withheld;
         const auto found = messages_.find(event.message);
         if (found == messages_.end()) return;
         Message& message = found->second;
         --message.out;
-        if (event.terminal || event.outcome == Outcome::Served) return forget(event.message, now);
+        if (event.terminal || event.outcome == Outcome::Delivered) return forget(event.message, now);
         if (event.outcome == Outcome::Withheld) --message.attempts;
         message.not_before =
             now + (event.outcome == Outcome::Withheld ? kRetryGap : pause_after(message, now));
@@ -1070,10 +1081,10 @@
     }
 
     void settle_key(std::uint64_t key, const OutcomeEvent& event, Time now) {
-        const bool may_run_on = event.outcome == Outcome::NoAnswer ||
+        const bool may_run_on = event.outcome == Outcome::TimedOut ||
                                 event.outcome == Outcome::ConnectionLost ||
-                                event.outcome == Outcome::CalledOff;
-        if (may_run_on) keys_.rest(key, event.message, now + settings_.settle_after_doubt);
+                                event.outcome == Outcome::Cancelled;
+        if (may_run_on) keys_.rest(key, event.message, now + settings_.ambiguous_settle_time);
         keys_.end_attempt(key, now);
     }
 
@@ -1101,8 +1112,8 @@
     bool may_refuse(const Message& message) const {
         if (message.out == 0 && !message.doubt_since) return true;
         const ClassSettings& kind = *message.terms;
-        return kind.effect == Effect::Retryable ||
-               (kind.effect == Effect::Dedup && kind.dedup_scope == DedupScope::All);
+        return kind.delivery == DeliverySemantics::Retryable ||
+               (kind.delivery == DeliverySemantics::Deduplicated && kind.dedup_scope == DedupScope::All);
     }
     void end(MessageId id, Time now) {
         // at its deadline a client has no time to come again: a refusal would promise what helps nobody
@@ -1126,7 +1137,7 @@
         if (found == messages_.end()) return;
         Destination& destination = destinations_.at(found->second.destination);
         destination.held.erase(found->second.arrival);
-        destination.aims.remove(found->second.terms->aim);
+        destination.aims.remove(found->second.terms->target_latency);
         ends_.erase(id), pauses_.erase(id);
         doubt_at(found->second, std::nullopt);
         if (brings_news(found->second)) --destination.repeatable;
@@ -1148,7 +1159,7 @@
     // the latest of equals. What is down thus cannot fill the room of others.
     void keep_room(Time now) {
         const auto most =
-            static_cast<std::size_t>(static_cast<double>(settings_.most_held) * (1.0 - kRoomKept));
+            static_cast<std::size_t>(static_cast<double>(settings_.max_held_messages) * (1.0 - kRoomKept));
         while (messages_.size() > std::max<std::size_t>(1, most)) {
             std::optional<MessageId> least;
             std::pair lowest{0.0, 0.0};
@@ -1184,14 +1195,15 @@
     }
     double worth_of(const Message& message, Time served) const {
         const ClassSettings& kind = *message.terms;
-        const double worth = kind.worth * (message.over_share ? settings_.over_share_worth : 1.0);
+        const double worth = kind.utility * (message.over_share ? settings_.over_quota_utility : 1.0);
         if (served >= message.deadline) return 0.0;
-        const Time late = served - message.born - kind.aim;
+        const Time late = served - message.born - kind.target_latency;
         if (late <= Time(0)) return worth;
-        const double aims_late = seconds(late) / std::max(seconds(Time(1000)), seconds(kind.aim));
-        if (settings_.loses_worth == LateWorth::Halving)
-            return worth * std::max(kind.late_worth, std::exp2(-aims_late));
-        return worth * (1.0 - (1.0 - kind.late_worth) * seconds(late) / seconds(kind.deadline - kind.aim));
+        const double aims_late = seconds(late) / std::max(seconds(Time(1000)), seconds(kind.target_latency));
+        if (settings_.late_decay == LateDecay::Halving)
+            return worth * std::max(kind.late_utility, std::exp2(-aims_late));
+        return worth * (1.0 - (1.0 - kind.late_utility) * seconds(late) /
+                                  seconds(kind.deadline - kind.target_latency));
     }
 
     void set_timer(Time now) {
@@ -1201,7 +1213,7 @@
         for (const auto& due : {ends_.earliest(), pauses_.earliest()})
             next = std::min(next, due.value_or(kNever));
         next = std::min(next, keys_.next_turn(now, kNever));
-        if (calls_.size() < settings_.slots) {
+        if (calls_.size() < settings_.max_calls) {
             next = std::min(next, queue_.next_reopening().value_or(kNever));
             for (const auto& [share, id] : queue_.open())
                 next = std::min(next, next_due(destinations_.at(id), now));
@@ -1215,7 +1227,7 @@
     // The earliest moment after now at which a tag, wait or budget of the destination falls due.
     Time next_due(const Destination& destination, Time now) {
         Time next = kNever;
-        if (settings_.floor_per_s > 0 && destination.reservation_tag > now)
+        if (settings_.reservation_per_s > 0 && destination.reservation_tag > now)
             next = destination.reservation_tag;
         for (const EndpointId id : destination.endpoints) {
             Endpoint& endpoint = endpoints_.at(id);
@@ -1257,18 +1269,18 @@
 };
 
 Sender::Sender(Settings settings, std::uint64_t seed)
-    : logic_(std::make_unique<Logic>(std::move(settings), seed)) {}
+    : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
 Sender::~Sender() = default;
 Sender::Sender(Sender&&) noexcept = default;
 Sender& Sender::operator=(Sender&&) noexcept = default;
 
 void Sender::observe(const Event& event, Time now) {
-    std::visit([&](const auto& one) { logic_->take(one, now); }, event);
+    std::visit([&](const auto& one) { impl_->take(one, now); }, event);
 }
-std::vector<Learned> Sender::learned(Time now) const { return logic_->learned(now); }
-std::vector<Action> Sender::decide(Time now) { return logic_->decide(now); }
-bool Sender::may_begin(MessageId message, std::uint32_t attempt, Time now) const {
-    return logic_->may_begin(message, attempt, now);
+std::vector<LearnedState> Sender::learned_state(Time now) const { return impl_->learned(now); }
+std::vector<Action> Sender::decide(Time now) { return impl_->decide(now); }
+bool Sender::may_start(MessageId message, std::uint32_t attempt, Time now) const {
+    return impl_->may_begin(message, attempt, now);
 }
 
 }  // namespace cometspoke
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -9,21 +9,21 @@
 Time from_ms(double ms) { return Time(static_cast<Time::rep>(std::llround(ms * 1000.0))); }
 double to_ms(Time time) { return static_cast<double>(time.count()) / 1000.0; }
 
-const Json& need(const Json& object, const char* name) {
+const Json& require_field(const Json& object, const char* name) {
     const auto found = object.find(name);
-    if (found == object.end() || found->is_null()) throw BadInput(std::string("missing field ") + name);
+    if (found == object.end() || found->is_null()) throw InvalidInput(std::string("missing field ") + name);
     return *found;
 }
 Time time_or(const Json& object, const char* name, Time fallback) {
     return from_ms(value_or(object, name, to_ms(fallback)));
 }
 
-MessageId id_of(const std::string& text) {
+MessageId parse_message_id(const std::string& text) {
     if (text.size() != 16 || text.find_first_not_of("0123456789abcdef") != std::string::npos)
-        throw BadInput("id is not 16 hex digits: " + text);
+        throw InvalidInput("id is not 16 hex digits: " + text);
     return std::stoull(text, nullptr, 16);
 }
-std::string id_text(MessageId message) {
+std::string format_message_id(MessageId message) {
     static constexpr char digits[] = "0123456789abcdef";
     std::string text(16, '0');
     for (std::size_t i = 16; i-- > 0; message >>= 4) text[i] = digits[message & 15];
@@ -32,14 +32,14 @@
 
 std::size_t index_of(const Index& index, const std::string& name, const char* what) {
     const auto found = index.find(name);
-    if (found == index.end()) throw BadInput(std::string("unknown ") + what + " " + name);
+    if (found == index.end()) throw InvalidInput(std::string("unknown ") + what + " " + name);
     return found->second;
 }
 
 namespace {
 
 std::string name_of(const Json& entry) {
-    return entry.is_string() ? entry.get<std::string>() : field<std::string>(entry, "name");
+    return entry.is_string() ? entry.get<std::string>() : required_value<std::string>(entry, "name");
 }
 Index index_names(const Json& names, Index index = {}) {
     for (const Json& entry : names) index.emplace(name_of(entry), index.size());
@@ -48,51 +48,51 @@
 constexpr double kLongestMs = 1e10;  // four months
 
 Time deadline_of(const Json& fields) {
-    const Json& limit = need(fields, "hard_limit_ms");  // true is no number here
+    const Json& limit = require_field(fields, "hard_limit_ms");  // true is no number here
     if (!limit.is_number() || !(limit.get<double>() > 0 && limit.get<double>() < kLongestMs))
-        throw BadInput("hard_limit_ms is not a positive number");
+        throw InvalidInput("hard_limit_ms is not a positive number");
     return from_ms(limit.get<double>());
 }
 std::size_t attempts_of(const Json& limits) {
-    const Json& most = need(limits, "max_attempts");
+    const Json& most = require_field(limits, "max_attempts");
     if (!most.is_number() || !(most.get<double>() >= 1 && most.get<double>() < 1e9))
-        throw BadInput("max_attempts is not a positive number");
+        throw InvalidInput("max_attempts is not a positive number");
     return most.get<std::size_t>();
 }
 
 ClassSettings class_of(const Json& fields) {
     ClassSettings result;
-    const auto effect = field<std::string>(fields, "effect");
+    const auto effect = required_value<std::string>(fields, "effect");
     if (effect != "retryable" && effect != "dedup" && effect != "fragile")
-        throw BadInput("unknown effect " + effect);
-    result.effect = effect == "fragile" ? Effect::Fragile
-                    : effect == "dedup" ? Effect::Dedup
-                                        : Effect::Retryable;
+        throw InvalidInput("unknown effect " + effect);
+    result.delivery = effect == "fragile" ? DeliverySemantics::AtMostOnce
+                      : effect == "dedup" ? DeliverySemantics::Deduplicated
+                                          : DeliverySemantics::Retryable;
     const auto scope = value_or<std::string>(fields, "dedup_scope", "all");
     result.dedup_scope = scope == "all"    ? DedupScope::All
                          : scope == "zone" ? DedupScope::Zone
                                            : DedupScope::Endpoint;
-    result.window = time_or(fields, "window_ms", Time(0));
-    result.aim = from_ms(field<double>(fields, "aim_ms"));
+    result.dedup_window = time_or(fields, "window_ms", Time(0));
+    result.target_latency = from_ms(required_value<double>(fields, "aim_ms"));
     result.deadline = deadline_of(fields);
-    result.worth = value_or(fields, "worth", 1.0);
-    result.late_worth = value_or(fields, "late_worth", 0.0);
+    result.utility = value_or(fields, "worth", 1.0);
+    result.late_utility = value_or(fields, "late_worth", 0.0);
     result.sequential = value_or(fields, "sequential", false);
     return result;
 }
 
 void read_limits(const Json& params, Settings& settings) {
-    const Json& limits = need(params, "limits");
-    settings.most_held = field<std::size_t>(limits, "most_held");
+    const Json& limits = require_field(params, "limits");
+    settings.max_held_messages = required_value<std::size_t>(limits, "most_held");
     settings.max_attempts = attempts_of(limits);
-    settings.cancel = value_or(limits, "cancel", false);
-    settings.conn_idle = time_or(limits, "conn_idle_ms", Time(0));
-    const Json& contract = need(params, "contract");
-    settings.fall = time_or(contract, "fall_ms", Time(0));
-    settings.warm_within = time_or(contract, "warm_within_ms", Time(0));
-    settings.settle_after_doubt = time_or(contract, "settle_after_doubt_ms", Time(0));
-    settings.fall_multiple = value_or(contract, "fall_multiple", settings.fall_multiple);
-    settings.cold_from = value_or(contract, "cold_from", settings.cold_from);
+    settings.can_cancel = value_or(limits, "cancel", false);
+    settings.connection_idle_limit = time_or(limits, "conn_idle_ms", Time(0));
+    const Json& contract = require_field(params, "contract");
+    settings.overload_window = time_or(contract, "fall_ms", Time(0));
+    settings.warm_up_time = time_or(contract, "warm_within_ms", Time(0));
+    settings.ambiguous_settle_time = time_or(contract, "settle_after_doubt_ms", Time(0));
+    settings.overload_multiple = value_or(contract, "fall_multiple", settings.overload_multiple);
+    settings.cold_capacity_share = value_or(contract, "cold_from", settings.cold_capacity_share);
 }
 
 void read_kinds(const Json& info, const Json& kinds, const Names& names, Settings& settings) {
@@ -102,8 +102,8 @@
     settings.kinds.resize(names.kinds.size());
     for (std::size_t i = 0; i < kinds.size(); ++i) {
         KindSettings& kind = settings.kinds[names.kinds.at(name_of(kinds[i]))];
-        if (i < apart.size()) kind.routes_apart = apart[i].get<bool>();
-        if (i < per_call.size()) kind.per_call = per_call[i].get<std::size_t>();
+        if (i < apart.size()) kind.limits_per_endpoint = apart[i].get<bool>();
+        if (i < per_call.size()) kind.max_messages_per_call = per_call[i].get<std::size_t>();
     }
 }
 std::vector<double> read_fees(const Json& info, const Json& zones, const Names& names) {
@@ -116,30 +116,31 @@
 
 }  // namespace
 
-Names names_of(const Json& params, const Names& before) {
-    return {index_names(need(params, "classes")), index_names(value_or(params, "tenants", Json::array())),
+Names parse_names(const Json& params, const Names& before) {
+    return {index_names(require_field(params, "classes")),
+        index_names(value_or(params, "tenants", Json::array())),
         index_names(value_or(params, "localities", Json::array()), before.zones),
-        index_names(need(params, "kinds"), before.kinds)};
+        index_names(require_field(params, "kinds"), before.kinds)};
 }
 
-Settings settings_of(const Json& params, const Names& names) {
+Settings parse_settings(const Json& params, const Names& names) {
     Settings settings;
-    for (const Json& entry : need(params, "classes")) settings.classes.push_back(class_of(entry));
+    for (const Json& entry : require_field(params, "classes")) settings.classes.push_back(class_of(entry));
     for (const Json& entry : value_or(params, "tenants", Json::array()))
         settings.tenants.push_back({value_or(entry, "quota_per_s", 0.0)});
-    const Json& info = need(params, "family_info");
-    settings.slots = field<std::size_t>(info, "slots");
-    read_kinds(info, need(params, "kinds"), names, settings);
-    settings.zone_fees = read_fees(info, value_or(params, "localities", Json::array()), names);
-    settings.loses_worth = value_or<std::string>(info, "loses_worth", "linear") == "halving"
-                               ? LateWorth::Halving
-                               : LateWorth::Linear;
+    const Json& info = require_field(params, "family_info");
+    settings.max_calls = required_value<std::size_t>(info, "slots");
+    read_kinds(info, require_field(params, "kinds"), names, settings);
+    settings.zone_costs = read_fees(info, value_or(params, "localities", Json::array()), names);
+    settings.late_decay = value_or<std::string>(info, "loses_worth", "linear") == "halving"
+                              ? LateDecay::Halving
+                              : LateDecay::Linear;
     read_limits(params, settings);
-    settings.n_instances = field<std::size_t>(params, "n_instances");
+    settings.instance_count = required_value<std::size_t>(params, "n_instances");
     settings.must_subscribe = value_or<std::string>(params, "discovery", "automatic") == "subscribe";
     settings.listed_rates = value_or<std::string>(params, "weights", "off") != "off";
-    settings.floor_per_s = value_or(params, "floor_per_s", 0.0);
-    settings.over_share_worth = value_or(params, "over_share_worth", 1.0);
+    settings.reservation_per_s = value_or(params, "floor_per_s", 0.0);
+    settings.over_quota_utility = value_or(params, "over_share_worth", 1.0);
     settings.zones = names.zones.size();
     if (const auto zone = names.zones.find(value_or<std::string>(params, "az", ""));
         zone != names.zones.end())
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -15,7 +15,7 @@
 using Index = std::map<std::string, std::size_t>;
 
 /// The input is not what it should be; what() says what was wrong.
-class BadInput : public std::runtime_error {
+class InvalidInput : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
@@ -23,7 +23,7 @@
 Time from_ms(double ms);
 double to_ms(Time time);
 
-const Json& need(const Json& object, const char* name);
+const Json& require_field(const Json& object, const char* name);
 /// The field's value, or the fallback where it is absent.
 template <class T>
 T value_or(const Json& object, const char* name, T fallback) {
@@ -32,13 +32,13 @@
 }
 Time time_or(const Json& object, const char* name, Time fallback);
 template <class T>
-T field(const Json& object, const char* name) {
-    return need(object, name).get<T>();
+T required_value(const Json& object, const char* name) {
+    return require_field(object, name).get<T>();
 }
 
 /// Message ids are written as 16 hex digits.
-MessageId id_of(const std::string& text);
-std::string id_text(MessageId message);
+MessageId parse_message_id(const std::string& text);
+std::string format_message_id(MessageId message);
 
 /// The names that the settings list, each with its place.
 struct Names {
@@ -46,7 +46,7 @@
 };
 std::size_t index_of(const Index& index, const std::string& name, const char* what);
 /// Zones and kinds that were named `before` keep their places; classes and tenants are those of `params`.
-Names names_of(const Json& params, const Names& before = {});
-Settings settings_of(const Json& params, const Names& names);
+Names parse_names(const Json& params, const Names& before = {});
+Settings parse_settings(const Json& params, const Names& names);
 
 }  // namespace cometspoke::settings
--- a/src/wire.cpp
+++ b/src/simulator_adapter.cpp
@@ -1,4 +1,4 @@
-#include "wire.hpp"
+#include "simulator_adapter.hpp"
 
 #include <array>
 #include <istream>
@@ -13,15 +13,15 @@
 namespace {
 
 constexpr std::array<std::pair<const char*, Outcome>, 8> outcome_codes{
-    {{"served", Outcome::Served}, {"server_error", Outcome::ServerError},
-        {"turned_away", Outcome::TurnedAway}, {"no_answer", Outcome::NoAnswer},
-        {"no_connection", Outcome::NoConnection}, {"connection_lost", Outcome::ConnectionLost},
-        {"called_off", Outcome::CalledOff}, {"not_sent", Outcome::NotSent}}};
+    {{"served", Outcome::Delivered}, {"server_error", Outcome::ServerError},
+        {"turned_away", Outcome::Rejected}, {"no_answer", Outcome::TimedOut},
+        {"no_connection", Outcome::ConnectFailed}, {"connection_lost", Outcome::ConnectionLost},
+        {"called_off", Outcome::Cancelled}, {"not_sent", Outcome::NotSent}}};
 Outcome outcome_code(const Json& fields) {
-    const auto text = field<std::string>(fields, "code");
+    const auto text = required_value<std::string>(fields, "code");
     for (const auto& [name, outcome] : outcome_codes)
         if (text == name) return outcome;
-    throw BadInput("unknown code " + text);
+    throw InvalidInput("unknown code " + text);
 }
 
 constexpr char base64_digits[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
@@ -45,7 +45,7 @@
     for (const char digit : text) {
         if (digit == '=') break;
         const auto at = std::string_view(base64_digits).find(digit);
-        if (at == std::string_view::npos) throw BadInput("content is not base64");
+        if (at == std::string_view::npos) throw InvalidInput("content is not base64");
         block = block << 6 | static_cast<std::uint32_t>(at);
         bits += 6;
         if (bits >= 8) bytes += static_cast<char>(block >> (bits -= 8) & 255);
@@ -56,7 +56,8 @@
 }  // namespace
 
 Instance::Instance(const Json& params, std::uint64_t seed)
-    : names_(settings::names_of(params)), sender_(Sender(settings::settings_of(params, names_), seed)) {}
+    : names_(settings::parse_names(params)),
+      sender_(Sender(settings::parse_settings(params, names_), seed)) {}
 
 EndpointId Instance::endpoint_of(const std::string& name) {
     const auto [found, fresh] = endpoints_.emplace(name, static_cast<EndpointId>(endpoint_names_.size()));
@@ -65,28 +66,28 @@
 }
 
 ListEvent Instance::list_of(const Json& fields, const Json* ledger) {
-    const int kind = field<int>(fields, "kind");
-    if (kind != 0 && kind != 2 && kind != 3 && kind != 4) throw BadInput("unknown VIEW kind");
+    const int kind = required_value<int>(fields, "kind");
+    if (kind != 0 && kind != 2 && kind != 3 && kind != 4) throw InvalidInput("unknown VIEW kind");
     ListEvent event;
-    event.kind = kind == 0   ? ListKind::Cached
-                 : kind == 2 ? ListKind::Full
-                 : kind == 3 ? ListKind::Failed
-                             : ListKind::Changes;
-    if (event.kind == ListKind::Failed) return event;
-    if (ledger == nullptr) throw BadInput("VIEW names a slot without a LEDGER");
+    event.kind = kind == 0   ? ListUpdateKind::Cached
+                 : kind == 2 ? ListUpdateKind::Full
+                 : kind == 3 ? ListUpdateKind::Failed
+                             : ListUpdateKind::Delta;
+    if (event.kind == ListUpdateKind::Failed) return event;
+    if (ledger == nullptr) throw InvalidInput("VIEW names a slot without a LEDGER");
     for (const Json& row : *ledger) {
         ListEntry entry;
-        entry.endpoint = endpoint_of(field<std::string>(row, "target"));
+        entry.endpoint = endpoint_of(required_value<std::string>(row, "target"));
         entry.destination = static_cast<DestinationId>(value_or(row, "destination", 0.0));
         if (const auto zone = value_or<std::string>(row, "az", ""); !zone.empty())
             entry.zone = index_of(names_.zones, zone, "zone");
         if (const auto kind_name = value_or<std::string>(row, "shape", ""); !kind_name.empty())
             entry.kind = index_of(names_.kinds, kind_name, "kind");
-        entry.rate = value_or(row, "power_hint", 0.0);
+        entry.agreed_rate_per_s = value_or(row, "power_hint", 0.0);
         const int condition = value_or(row, "condition", 0);
         entry.condition = condition == 1   ? Condition::Ready
                           : condition == 2 ? Condition::Draining
-                                           : Condition::Gone;
+                                           : Condition::Removed;
         event.entries.push_back(entry);
     }
     return event;
@@ -94,15 +95,15 @@
 
 MessageEvent Instance::message_of(const Json& fields) const {
     MessageEvent event;
-    event.message = id_of(field<std::string>(fields, "ticket"));
-    event.destination = static_cast<DestinationId>(field<double>(fields, "called_node"));
-    event.message_class = index_of(names_.classes, field<std::string>(fields, "category"), "class");
+    event.message = parse_message_id(required_value<std::string>(fields, "ticket"));
+    event.destination = static_cast<DestinationId>(required_value<double>(fields, "called_node"));
+    event.message_class = index_of(names_.classes, required_value<std::string>(fields, "category"), "class");
     const Json tenant = value_or(fields, "project", Json());
     if (tenant.is_string() && !names_.tenants.empty())
         event.tenant = index_of(names_.tenants, tenant.get<std::string>(), "tenant");
     if (const Json key = value_or(fields, "subject", Json()); !key.is_null())
         event.key = key.get<std::uint64_t>();
-    event.left = from_ms(field<double>(fields, "patience_left_ms"));
+    event.time_left = from_ms(required_value<double>(fields, "patience_left_ms"));
     return event;
 }
 
@@ -115,19 +116,19 @@
 
 OutcomeEvent Instance::outcome_of(const Json& fields) {
     OutcomeEvent event;
-    event.message = id_of(field<std::string>(fields, "ticket"));
-    event.endpoint = endpoint_of(field<std::string>(fields, "target"));
+    event.message = parse_message_id(required_value<std::string>(fields, "ticket"));
+    event.endpoint = endpoint_of(required_value<std::string>(fields, "target"));
     event.attempt = value_or<std::uint32_t>(fields, "trial", 0);
     event.outcome = outcome_code(fields);
     event.terminal = value_or(fields, "terminal", false);
     event.rtt = time_or(fields, "rtt_ms", Time(0));
-    if (event.outcome == Outcome::TurnedAway) event.wait = time_or(fields, "hold_ms", Time(0));
+    if (event.outcome == Outcome::Rejected) event.retry_after = time_or(fields, "hold_ms", Time(0));
     event.report = report_of(fields);
     return event;
 }
 
 ProbeResult Instance::probe_of(const Json& fields) {
-    return {endpoint_of(field<std::string>(fields, "target")), outcome_code(fields),
+    return {endpoint_of(required_value<std::string>(fields, "target")), outcome_code(fields),
         time_or(fields, "rtt_ms", Time(0)), report_of(fields)};
 }
 
@@ -137,23 +138,24 @@
     } else if (name == "JOB_IN") {
         sender_->observe(message_of(fields), now);
     } else if (name == "FLOWING") {
-        sender_->observe(StreamStarted{id_of(field<std::string>(fields, "ticket")),
+        sender_->observe(StreamStarted{parse_message_id(required_value<std::string>(fields, "ticket")),
                              value_or<std::uint32_t>(fields, "trial", 0)},
             now);
     } else if (name == "REPORT_BACK") {
         sender_->observe(outcome_of(fields), now);
     } else if (name == "ABANDONED") {
-        sender_->observe(AbandonedEvent{id_of(field<std::string>(fields, "ticket"))}, now);
+        sender_->observe(
+            AbandonedEvent{parse_message_id(required_value<std::string>(fields, "ticket"))}, now);
     } else if (name == "WAKE") {
         sender_->observe(TimerFired{}, now);
     } else if (name == "CHECK_RESULT") {
         sender_->observe(probe_of(fields), now);
     } else if (name == "DATAGRAM") {
-        sender_->observe(PeerNote{value_or<std::size_t>(fields, "src_peer", 0),
+        sender_->observe(PeerMessage{value_or<std::size_t>(fields, "src_peer", 0),
                              from_base64(value_or<std::string>(fields, "content", ""))},
             now);
     } else {
-        throw BadInput("unknown event " + name);
+        throw InvalidInput("unknown event " + name);
     }
 }
 
@@ -162,20 +164,20 @@
     const char* name = "";
     if (const auto* send = std::get_if<Send>(&action)) {
         name = "SEND";
-        fields["ticket"] = id_text(send->message);
+        fields["ticket"] = format_message_id(send->message);
         fields["target"] = endpoint_names_.at(send->endpoint);
-        fields["allow_for_ms"] = to_ms(send->time_out);
+        fields["allow_for_ms"] = to_ms(send->timeout);
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
         name = "DROP_ATTEMPT";
-        fields["ticket"] = id_text(cancel->message);
+        fields["ticket"] = format_message_id(cancel->message);
         fields["trial"] = cancel->attempt;
     } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
         name = "DENY";
-        fields["ticket"] = id_text(refuse->message);
+        fields["ticket"] = format_message_id(refuse->message);
         fields["retry_after_ms"] = to_ms(refuse->retry_after);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
         name = "GIVE_UP";
-        fields["ticket"] = id_text(fail->message);
+        fields["ticket"] = format_message_id(fail->message);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
         name = "WAKE_ME";
         fields["sleep_for_ms"] = to_ms(timer->delay);
@@ -186,7 +188,7 @@
     } else if (const auto* close = std::get_if<CloseIdle>(&action)) {
         name = "CLOSE";
         fields["target"] = endpoint_names_.at(close->endpoint);
-    } else if (const auto* tell = std::get_if<TellPeers>(&action)) {
+    } else if (const auto* tell = std::get_if<SendToPeers>(&action)) {
         name = "BROADCAST_TO";
         fields["dest"] = tell->to ? static_cast<std::int64_t>(*tell->to) : -1;
         fields["content"] = to_base64(tell->bytes);
@@ -204,7 +206,7 @@
 
 void Instance::reply(std::int64_t who, Time now, std::ostream& out) {
     for (const Action& action : sender_->decide(now)) {
-        if (const auto* forget = std::get_if<Forget>(&action))
+        if (const auto* forget = std::get_if<ReleaseEndpoint>(&action))
             endpoints_.erase(endpoint_names_.at(forget->endpoint));
         else
             out << json_of(action, who).dump() << '\n';
@@ -220,15 +222,15 @@
 
     void line(const std::string& text) {
         const Json object = Json::parse(text);
-        if (!object.is_object() || object.size() != 1) throw BadInput("not an object with one key");
+        if (!object.is_object() || object.size() != 1) throw InvalidInput("not an object with one key");
         const std::string& name = object.begin().key();
         const Json& fields = object.begin().value();
-        if (!fields.is_object()) throw BadInput(name + " is not an object");
+        if (!fields.is_object()) throw InvalidInput(name + " is not an object");
         if (name == "MARK") return begin(fields);
-        if (!inside_) throw BadInput(name + " outside a batch");
+        if (!inside_) throw InvalidInput(name + " outside a batch");
         if (name == "OVER_TO_YOU") return finish();
         if (name == "LEDGER") {
-            ledgers_[field<int>(fields, "slot")] = need(fields, "rows_in");
+            ledgers_[required_value<int>(fields, "slot")] = require_field(fields, "rows_in");
             return;
         }
         event(name, fields);
@@ -237,18 +239,18 @@
 
 private:
     void begin(const Json& fields) {
-        if (inside_) throw BadInput("MARK inside a batch");
-        now_ = from_ms(field<double>(fields, "time_ms"));
+        if (inside_) throw InvalidInput("MARK inside a batch");
+        now_ = from_ms(required_value<double>(fields, "time_ms"));
         inside_ = true;
         touched_.clear();
         panics_.clear();
     }
     void event(const std::string& name, const Json& fields) {
-        const auto who = field<std::int64_t>(fields, "who");
+        const auto who = required_value<std::int64_t>(fields, "who");
         if (name == "PROVISION") {
             guarded(who, [&] {
-                instances_.insert_or_assign(
-                    who, Instance(need(fields, "params"), value_or<std::uint64_t>(fields, "salt", 0)));
+                instances_.insert_or_assign(who,
+                    Instance(require_field(fields, "params"), value_or<std::uint64_t>(fields, "salt", 0)));
             });
             touched_.insert(who);
             return;
@@ -256,7 +258,7 @@
         const auto found = instances_.find(who);
         if (found == instances_.end()) {
             if (panics_.contains(who)) return;
-            throw BadInput("unknown instance " + std::to_string(who));
+            throw InvalidInput("unknown instance " + std::to_string(who));
         }
         if (name == "DESTROY") {
             instances_.erase(found);
@@ -274,7 +276,7 @@
     void guarded(std::int64_t who, Work work) {
         try {
             work();
-        } catch (const BadInput&) {
+        } catch (const InvalidInput&) {
             throw;
         } catch (const Json::exception&) {
             throw;
@@ -312,7 +314,7 @@
             ++number;
             if (!text.empty()) host.line(text);
         }
-        if (host.inside()) throw BadInput("the input ends inside a batch");
+        if (host.inside()) throw InvalidInput("the input ends inside a batch");
     } catch (const std::exception& failure) {
         std::string what = failure.what();
         for (char& letter : what)
--- a/src/wire.hpp
+++ b/src/simulator_adapter.hpp
@@ -15,7 +15,7 @@
 
 using Json = settings::Json;
 
-using settings::BadInput;
+using settings::InvalidInput;
 
 /// One hosted instance: its Sender and the names it has met.
 class Instance {
--- a/src/drill.cpp
+++ b/src/simulator_main.cpp
@@ -1,6 +1,6 @@
 #include <iostream>
 
-#include "wire.hpp"
+#include "simulator_adapter.hpp"
 
 int main() {
     std::ios::sync_with_stdio(false);
--- a/tests/bench_model_test.cpp
+++ b/tests/bench_model_test.cpp
@@ -19,14 +19,14 @@
     EndpointModel model;
     model.limit_per_s = 2.0;
     EndpointFarm farm({model});
-    EXPECT_EQ(farm.call(0, Time(0), kSecond).outcome, Outcome::Served);
-    EXPECT_EQ(farm.call(0, Time(1), kSecond).outcome, Outcome::Served);
+    EXPECT_EQ(farm.call(0, Time(0), kSecond).outcome, Outcome::Delivered);
+    EXPECT_EQ(farm.call(0, Time(1), kSecond).outcome, Outcome::Delivered);
     const Reply above = farm.call(0, Time(2), kSecond);
-    EXPECT_EQ(above.outcome, Outcome::TurnedAway);
+    EXPECT_EQ(above.outcome, Outcome::Rejected);
     ASSERT_TRUE(above.report);
-    EXPECT_EQ(above.report->left, 0.0);
-    EXPECT_EQ(above.report->limit, 2.0);
-    EXPECT_EQ(farm.call(0, kSecond, kSecond).outcome, Outcome::Served);
+    EXPECT_EQ(above.report->remaining_share, 0.0);
+    EXPECT_EQ(above.report->limit_per_s, 2.0);
+    EXPECT_EQ(farm.call(0, kSecond, kSecond).outcome, Outcome::Delivered);
     ASSERT_EQ(farm.seconds().size(), 2u);
     EXPECT_EQ(farm.seconds()[0].calls, 3u);
     EXPECT_EQ(farm.seconds()[0].turned_away, 1u);
@@ -38,9 +38,9 @@
     model.down_from = kSecond;
     model.down_until = 2 * kSecond;
     EndpointFarm farm({model});
-    EXPECT_EQ(farm.call(0, Time(0), kSecond).outcome, Outcome::Served);
-    EXPECT_EQ(farm.call(0, kSecond, kSecond).outcome, Outcome::NoConnection);
-    EXPECT_EQ(farm.call(0, 2 * kSecond, kSecond).outcome, Outcome::Served);
+    EXPECT_EQ(farm.call(0, Time(0), kSecond).outcome, Outcome::Delivered);
+    EXPECT_EQ(farm.call(0, kSecond, kSecond).outcome, Outcome::ConnectFailed);
+    EXPECT_EQ(farm.call(0, 2 * kSecond, kSecond).outcome, Outcome::Delivered);
     EXPECT_EQ(farm.seconds()[1].to_down, 1u);
 }
 
@@ -50,7 +50,7 @@
     model.down_mode = DownMode::Silent;
     EndpointFarm farm({model});
     const Reply reply = farm.call(0, Time(0), kSecond);
-    EXPECT_EQ(reply.outcome, Outcome::NoAnswer);
+    EXPECT_EQ(reply.outcome, Outcome::TimedOut);
     EXPECT_EQ(reply.after, kSecond);
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "net/clients.hpp"
+#include "net/client_server.hpp"
 #include "net_helpers.hpp"
 
 namespace lockgw {
@@ -15,21 +15,21 @@
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
     EXPECT_EQ(config.disk_bytes, 3u << 20);
     EXPECT_EQ(config.names.classes.at("unsafe"), 2u);
-    EXPECT_EQ(config.settings.classes[1].window, std::chrono::seconds(4));
+    EXPECT_EQ(config.settings.classes[1].dedup_window, std::chrono::seconds(4));
     EXPECT_EQ(config.connect_timeout, std::chrono::milliseconds(1000));
 }
 
 TEST(Config, ReadsTheFeesOfTheZones) {
     Json file = make_config("127.0.0.4:6379", "127.0.0.1:8500");
-    EXPECT_TRUE(read_config(file).settings.zone_fees.empty());
+    EXPECT_TRUE(read_config(file).settings.zone_costs.empty());
     file["settings"]["localities"] = {"a", "b"};
     file["settings"]["family_info"]["carriage"] = {0.0, 0.03};
     const Config before = read_config(file);
-    EXPECT_EQ(before.settings.zone_fees, (std::vector<double>{0.0, 0.03}));
+    EXPECT_EQ(before.settings.zone_costs, (std::vector<double>{0.0, 0.03}));
     // what the module knows by its place keeps that place in a later file
     file["settings"]["localities"] = {"c", "b", "a"};
     file["settings"]["family_info"]["carriage"] = {0.5, 0.03, 0.0};
-    EXPECT_EQ(read_config(file, &before).settings.zone_fees, (std::vector<double>{0.0, 0.03, 0.5}));
+    EXPECT_EQ(read_config(file, &before).settings.zone_costs, (std::vector<double>{0.0, 0.03, 0.5}));
 }
 
 TEST(Config, SaysWhatIsWrong) {
@@ -53,12 +53,12 @@
     cometspoke::Time left{0};
     const resp::Command command{
         "ENQUEUE", "0", "9b1f03aa5c7e2d41", "c=keyed,t=acme,d=8000,k=5c0f,dest=7,again=1", "BODY"};
-    const Message message = message_of(command, config, Wall{}, left);
+    const Message message = message_of(command, config, PersistentTime{}, left);
     EXPECT_EQ(message.id, 0x9b1f03aa5c7e2d41u);
     EXPECT_EQ(message.key, "5c0f");
     EXPECT_EQ(message.destination, 7);
     EXPECT_EQ(left, std::chrono::milliseconds(8000));
-    EXPECT_EQ(message.deadline, Wall{} + std::chrono::milliseconds(8000));
+    EXPECT_EQ(message.deadline, PersistentTime{} + std::chrono::milliseconds(8000));
     EXPECT_EQ(message.body, "BODY");
 }
 
@@ -68,22 +68,23 @@
     const Config config = read_config(fields);
     const auto order_key = [&config](const std::string& key, const std::string& pairs) {
         cometspoke::Time left{0};
-        return message_of({"ENQUEUE", key, "9b1f03aa5c7e2d41", pairs, ""}, config, Wall{}, left).order_key;
+        return message_of({"ENQUEUE", key, "9b1f03aa5c7e2d41", pairs, ""}, config, PersistentTime{}, left)
+            .order_key;
     };
     const std::string in_order = "c=safe,t=acme,d=8000,dest=7";
     EXPECT_EQ(order_key("0006483caaef320d", in_order), 0x0006483caaef320du);
     EXPECT_EQ(order_key("0000000000000000", in_order), std::nullopt);
     EXPECT_EQ(order_key("0006483caaef320d", "c=keyed,t=acme,d=8000,dest=7,k=1"), std::nullopt);
     for (const char* odd : {"", "xyz", "-1", "00006483caaef320d"})
-        EXPECT_THROW(order_key(odd, in_order), cometspoke::settings::BadInput) << odd;
+        EXPECT_THROW(order_key(odd, in_order), cometspoke::settings::InvalidInput) << odd;
 }
 
 TEST(Enqueue, RejectsWhatItCannotRead) {
     const Config config = read_config(make_config("127.0.0.4:6379", "127.0.0.1:8500"));
     const auto refused = [&config](const std::string& id, const std::string& pairs) {
         cometspoke::Time left{0};
-        EXPECT_THROW(
-            message_of({"ENQUEUE", "0", id, pairs, ""}, config, Wall{}, left), cometspoke::settings::BadInput)
+        EXPECT_THROW(message_of({"ENQUEUE", "0", id, pairs, ""}, config, PersistentTime{}, left),
+            cometspoke::settings::InvalidInput)
             << pairs;
     };
     const std::string id = "9b1f03aa5c7e2d41";
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -5,12 +5,12 @@
 
 int main() {
     Settings settings;
-    settings.slots = 4;
-    settings.most_held = 100;
+    settings.max_calls = 4;
+    settings.max_held_messages = 100;
     settings.max_attempts = 3;
     settings.kinds.resize(1);
     ClassSettings notice;
-    notice.aim = std::chrono::seconds(2);
+    notice.target_latency = std::chrono::seconds(2);
     notice.deadline = std::chrono::seconds(10);
     settings.classes.push_back(notice);
 
@@ -20,7 +20,7 @@
     ListEvent list;
     list.entries.push_back({.endpoint = 0, .destination = 57});
     sender.observe(list, now);
-    sender.observe(MessageEvent{.message = 1, .destination = 57, .left = std::chrono::seconds(10)}, now);
+    sender.observe(MessageEvent{.message = 1, .destination = 57, .time_left = std::chrono::seconds(10)}, now);
 
     bool sent = false;
     for (const Action& action : sender.decide(now))  // carry these out in order
@@ -28,9 +28,10 @@
     if (!sent) return 1;
 
     now += std::chrono::milliseconds(80);
-    sender.observe(
-        OutcomeEvent{
-            .message = 1, .outcome = Outcome::Served, .terminal = true, .rtt = std::chrono::milliseconds(80)},
+    sender.observe(OutcomeEvent{.message = 1,
+                       .outcome = Outcome::Delivered,
+                       .terminal = true,
+                       .rtt = std::chrono::milliseconds(80)},
         now);
     sender.decide(now);
     std::cout << "delivered\n";
--- a/tests/target_test.cpp
+++ b/tests/endpoint_caller_test.cpp
@@ -1,5 +1,6 @@
 // Targets that answer with noise, too much or without end, and targets that come and go.
-#include "net/targets.hpp"
+#include "net/endpoint_caller.hpp"
+
 #include "node_fixture.hpp"
 
 namespace lockgw {
@@ -260,14 +261,14 @@
     for (const bool bound : {true, false}) {
         asio::io_context io;
         std::optional<cometspoke::Outcome> outcome;
-        Targets targets(
+        EndpointCaller targets(
             io, config, 8, [](auto...) { return true; }, [](auto) {},
             [&](const cometspoke::OutcomeEvent& event) { outcome = event.outcome; });
         targets.set_address(1, listener.address(), 0);
         const auto within = bound ? std::optional<cometspoke::Time>(100ms) : std::nullopt;
-        targets.start({Attempt{1, 1, 0, "", "B", 500ms, within}});
+        targets.start({OutgoingAttempt{1, 1, 0, "", "B", 500ms, within}});
         io.run_for(kDeadline);
-        EXPECT_EQ(outcome, bound ? cometspoke::Outcome::Withheld : cometspoke::Outcome::NoConnection);
+        EXPECT_EQ(outcome, bound ? cometspoke::Outcome::Withheld : cometspoke::Outcome::ConnectFailed);
     }
 }
 
@@ -332,7 +333,7 @@
     const TemporaryFolder copy;
     std::filesystem::copy_file(node.state() / "journal", copy.path() / "journal");
     const Journal journal(copy.path(), 1 << 20);
-    const Entry* entry = journal.find(message);
+    const JournalEntry* entry = journal.find(message);
     return entry != nullptr ? entry->attempts : 0;
 }
 
@@ -347,7 +348,8 @@
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
     const auto until = Clock::now() + kDeadline;
-    while (attempts_on_record(node, cometspoke::settings::id_of(id)) == 0) ASSERT_LT(Clock::now(), until);
+    while (attempts_on_record(node, cometspoke::settings::parse_message_id(id)) == 0)
+        ASSERT_LT(Clock::now(), until);
     ::kill(node.pid(), GetParam());
     node.wait();
     node.config()["known"] = list(1, true, {member("s-1", target.address(), 7)});
@@ -383,16 +385,16 @@
     const Config config = read_config(make_config("127.0.0.1:1", "127.0.0.1:1"));
     asio::io_context io;
     std::optional<cometspoke::Outcome> outcome;
-    Targets targets(
+    EndpointCaller targets(
         io, config, 8, [](auto...) { return true; }, [](auto) {},
         [&](const cometspoke::OutcomeEvent& event) { outcome = event.outcome; });
     targets.set_address(1, tcp_endpoint(target.address(), "target"), 0);
-    targets.start({Attempt{1, 1, 0, "", "B", 50ms, std::nullopt}});
+    targets.start({OutgoingAttempt{1, 1, 0, "", "B", 50ms, std::nullopt}});
     const auto due = Clock::now() + 60ms;
     while (Clock::now() < due) continue;  // the connection is up and the time is over before the loop runs
     while (!outcome) ASSERT_GT(io.run_one_for(kDeadline), 0u);
     EXPECT_EQ(target.next().header("X-Call-Id"), "0000000000000001");
-    EXPECT_EQ(outcome, cometspoke::Outcome::NoAnswer);
+    EXPECT_EQ(outcome, cometspoke::Outcome::TimedOut);
 }
 
 // Another target may have the address by the time that a connection to it comes up.
@@ -404,11 +406,11 @@
     const Config config = read_config(file);
     asio::io_context io;
     std::optional<cometspoke::Outcome> outcome;
-    Targets targets(
+    EndpointCaller targets(
         io, config, 8, [](auto...) { return true; }, [](auto) {},
         [&](const cometspoke::OutcomeEvent& event) { outcome = event.outcome; });
     targets.set_address(1, tcp_endpoint(late.address(), "target"), 0);
-    targets.start({Attempt{1, 1, 0, "", "B", 20s, std::nullopt}});
+    targets.start({OutgoingAttempt{1, 1, 0, "", "B", 20s, std::nullopt}});
     targets.set_address(1, tcp_endpoint("127.0.0.1:1", "target"), 0);
     const Tcp::socket filling = late.accept();
     Tcp::socket second = late.accept();
@@ -426,7 +428,7 @@
     GivenUp() { targets.set_address(1, tcp_endpoint(target.address(), "target"), 0); }
     /// Runs until the target has the whole call.
     Exchange call(cometspoke::Time time_out) {
-        targets.start({Attempt{1, 1, 0, "", "B", time_out, std::nullopt}});
+        targets.start({OutgoingAttempt{1, 1, 0, "", "B", time_out, std::nullopt}});
         while (target.none_within(0ms)) io.run_one_for(10ms);
         return target.next();
     }
@@ -436,8 +438,8 @@
     asio::io_context io;
     std::vector<cometspoke::Time> waits;
     std::vector<cometspoke::OutcomeEvent> outcomes;
-    Targets targets{io, config, 8, [](auto...) { return true; },
-        [this](const cometspoke::WaitTold& told) { waits.push_back(told.wait); },
+    EndpointCaller targets{io, config, 8, [](auto...) { return true; },
+        [this](const cometspoke::RetryAfterEvent& told) { waits.push_back(told.retry_after); },
         [this](const cometspoke::OutcomeEvent& event) { outcomes.push_back(event); }};
     const std::string shut = "HTTP/1.1 429 X\r\nContent-Length: 0\r\nRetry-After: 3\r\n\r\n";
 };
@@ -449,8 +451,8 @@
     target.settle();
     targets.cancel(1, 0);
     ASSERT_EQ(outcomes.size(), 1u);
-    EXPECT_EQ(outcomes[0].outcome, cometspoke::Outcome::TurnedAway);
-    EXPECT_GT(outcomes[0].wait, 2s);
+    EXPECT_EQ(outcomes[0].outcome, cometspoke::Outcome::Rejected);
+    EXPECT_GT(outcomes[0].retry_after, 2s);
 }
 
 // The answer was written before the target could know, and crosses the end of the call.
@@ -458,8 +460,8 @@
     const Exchange out = call(20s);
     targets.cancel(1, 0);
     ASSERT_EQ(outcomes.size(), 1u);
-    EXPECT_EQ(outcomes[0].outcome, cometspoke::Outcome::CalledOff);
-    EXPECT_EQ(targets.calls(), 0u);
+    EXPECT_EQ(outcomes[0].outcome, cometspoke::Outcome::Cancelled);
+    EXPECT_EQ(targets.active_call_count(), 0u);
     out.write(shut);
     while (waits.empty()) ASSERT_GT(io.run_one_for(kDeadline), 0u);
     EXPECT_GT(waits[0], 2s);
@@ -476,13 +478,13 @@
     const Config config = read_config(file);
     asio::io_context io;
     std::map<MessageId, cometspoke::Outcome> outcomes;
-    Targets targets(
+    EndpointCaller targets(
         io, config, 8, [](MessageId message, std::uint32_t) { return message == 2; }, [](auto) {},
         [&](const cometspoke::OutcomeEvent& event) { outcomes[event.message] = event.outcome; });
     targets.set_address(1, tcp_endpoint(target.address(), "target"), 0);
-    const auto attempt = [](MessageId id) { return Attempt{id, 1, 0, "", "B", 20s, std::nullopt}; };
+    const auto attempt = [](MessageId id) { return OutgoingAttempt{id, 1, 0, "", "B", 20s, std::nullopt}; };
     targets.start({attempt(1), attempt(2), attempt(3)});
-    EXPECT_EQ(targets.calls(), 1u);
+    EXPECT_EQ(targets.active_call_count(), 1u);
     std::thread answering([&target] {
         const Exchange call = target.next();
         EXPECT_EQ(call.header("X-Call-Id"), "0000000000000002");
@@ -491,9 +493,9 @@
     while (outcomes.size() < 3) ASSERT_GT(io.run_one_for(kDeadline), 0u);
     answering.join();
     using cometspoke::Outcome;
-    EXPECT_EQ(outcomes,
-        (std::map<MessageId, Outcome>{{1, Outcome::Withheld}, {2, Outcome::Served}, {3, Outcome::Withheld}}));
-    EXPECT_EQ(targets.calls(), 0u);
+    EXPECT_EQ(outcomes, (std::map<MessageId, Outcome>{
+                            {1, Outcome::Withheld}, {2, Outcome::Delivered}, {3, Outcome::Withheld}}));
+    EXPECT_EQ(targets.active_call_count(), 0u);
 }
 
 // Another target may have the address of one that has gone: its calls go over connections of its own.
--- a/tests/directory_test.cpp
+++ b/tests/endpoint_directory_test.cpp
@@ -1,4 +1,4 @@
-#include "net/directory.hpp"
+#include "net/endpoint_directory.hpp"
 
 #include <gtest/gtest.h>
 
@@ -14,8 +14,9 @@
 using Gone = std::set<EndpointId>;
 using namespace std::chrono_literals;
 
-Target target(const std::string& id, std::int64_t destination, Condition condition = Condition::Ready) {
-    Target target;
+EndpointRecord target(
+    const std::string& id, std::int64_t destination, Condition condition = Condition::Ready) {
+    EndpointRecord target;
     target.id = id;
     target.destination = destination;
     target.condition = condition;
@@ -24,20 +25,22 @@
 
 class DirectoryTest : public ::testing::Test {
 protected:
-    Gone whole(std::vector<Target> targets) { return directory.listed({1, true, std::move(targets)}, now); }
-    Gone changes(std::vector<Target> targets) {
-        return directory.listed({1, false, std::move(targets)}, now);
+    Gone whole(std::vector<EndpointRecord> targets) {
+        return directory.apply({1, true, std::move(targets)}, now);
+    }
+    Gone changes(std::vector<EndpointRecord> targets) {
+        return directory.apply({1, false, std::move(targets)}, now);
     }
 
-    Directory directory;
-    Directory::Clock::time_point now = Directory::Clock::now();
+    EndpointDirectory directory;
+    EndpointDirectory::Clock::time_point now = EndpointDirectory::Clock::now();
 };
 
 // An outcome may still name the old number: it must not count for another target.
 TEST_F(DirectoryTest, NeverUsesANumberTwice) {
     changes({target("a", 1)});
     const EndpointId first = *directory.find("a");
-    EXPECT_EQ(changes({target("a", 1, Condition::Gone)}), Gone{first});
+    EXPECT_EQ(changes({target("a", 1, Condition::Removed)}), Gone{first});
     directory.forget(first);
     EXPECT_FALSE(directory.find("a"));
     EXPECT_EQ(directory.name_of(first), nullptr);
@@ -48,7 +51,7 @@
 
 TEST_F(DirectoryTest, ForgetsNoneThatIsListedAgain) {
     changes({target("a", 1)});
-    changes({target("a", 1, Condition::Gone)});
+    changes({target("a", 1, Condition::Removed)});
     changes({target("a", 1)});
     directory.forget(*directory.find("a"));
     EXPECT_TRUE(directory.find("a"));
@@ -58,22 +61,22 @@
     whole({target("a", 1), target("b", 2)});
     EXPECT_EQ(whole({target("b", 2)}), Gone{*directory.find("a")});
     EXPECT_EQ(changes({}), Gone{});
-    EXPECT_EQ(changes({target("never", 3, Condition::Gone)}), Gone{});
+    EXPECT_EQ(changes({target("never", 3, Condition::Removed)}), Gone{});
     EXPECT_FALSE(directory.find("never"));
 }
 
 // While its targets are replaced a destination may have none; one that was never listed does not exist.
 TEST_F(DirectoryTest, KnowsADestinationForAWhile) {
-    EXPECT_TRUE(directory.blank());
+    EXPECT_TRUE(directory.empty());
     changes({target("a", 1), target("b", 2, Condition::Draining)});
-    EXPECT_FALSE(directory.blank());
-    EXPECT_TRUE(directory.has(1, now));
-    EXPECT_TRUE(directory.has(2, now));
-    EXPECT_FALSE(directory.has(-1, now));
+    EXPECT_FALSE(directory.empty());
+    EXPECT_TRUE(directory.has_destination(1, now));
+    EXPECT_TRUE(directory.has_destination(2, now));
+    EXPECT_FALSE(directory.has_destination(-1, now));
     changes({target("a", 2)});
-    EXPECT_TRUE(directory.has(1, now));
-    EXPECT_FALSE(directory.has(1, now + 24h));
-    EXPECT_TRUE(directory.has(2, now + 24h));
+    EXPECT_TRUE(directory.has_destination(1, now));
+    EXPECT_FALSE(directory.has_destination(1, now + 24h));
+    EXPECT_TRUE(directory.has_destination(2, now + 24h));
 }
 
 // What is compared while a list arrives: an entry that says nothing new, and what it has not named.
@@ -83,7 +86,7 @@
     EXPECT_TRUE(directory.compare(target("a", 1)));
     EXPECT_FALSE(directory.compare(target("b", 2, Condition::Draining)));
     EXPECT_FALSE(directory.compare(target("new", 2)));
-    EXPECT_TRUE(directory.compare(target("never", 2, Condition::Gone)));
+    EXPECT_TRUE(directory.compare(target("never", 2, Condition::Removed)));
     EXPECT_EQ(directory.size(), 3u);
     std::optional<EndpointId> from = 0;
     EXPECT_TRUE(directory.missing(from, 2).empty());
@@ -91,7 +94,7 @@
     const auto gone = directory.missing(from, 2);
     ASSERT_EQ(gone.size(), 1u);
     EXPECT_EQ(gone[0].id, "c");
-    EXPECT_EQ(gone[0].condition, Condition::Gone);
+    EXPECT_EQ(gone[0].condition, Condition::Removed);
     EXPECT_FALSE(from);
 }
 
@@ -104,11 +107,11 @@
     /// In pieces of so many bytes.
     ListReader::Head read(const std::string& text, std::size_t piece, ListLimits limits = ample()) {
         targets.clear();
-        ListReader reader(limits, [this](Target target) { targets.push_back(std::move(target)); });
+        ListReader reader(limits, [this](EndpointRecord target) { targets.push_back(std::move(target)); });
         for (std::size_t at = 0; at < text.size(); at += piece) reader.feed(text.substr(at, piece));
         return reader.finish();
     }
-    std::vector<Target> targets;
+    std::vector<EndpointRecord> targets;
 };
 
 // However the bytes come, it says what the same text says as one value.
@@ -120,17 +123,17 @@
                         member("s-3", "nowhere", 4), member("s-4", "10.1.0.19:1", 4, "terminating")}},
         {"revision", 41}, {"complete", true}, {"extra", {{"members", {1, 2}}}}};
     for (const std::string& text : {told.dump(), told.dump(4)}) {
-        const TargetList expected = list_of(Json::parse(text), 100);
+        const EndpointList expected = parse_endpoint_list(Json::parse(text), 100);
         for (const std::size_t piece : {std::size_t(1), std::size_t(7), text.size()}) {
             const ListReader::Head head = read(text, piece);
             EXPECT_EQ(head.revision, 41);
             EXPECT_TRUE(head.complete);
-            ASSERT_EQ(targets.size(), expected.targets.size());
+            ASSERT_EQ(targets.size(), expected.endpoints.size());
             for (std::size_t i = 0; i < targets.size(); ++i) {
-                EXPECT_EQ(targets[i].id, expected.targets[i].id);
-                EXPECT_EQ(targets[i].address, expected.targets[i].address);
-                EXPECT_EQ(targets[i].destination, expected.targets[i].destination);
-                EXPECT_EQ(targets[i].condition, expected.targets[i].condition);
+                EXPECT_EQ(targets[i].id, expected.endpoints[i].id);
+                EXPECT_EQ(targets[i].address, expected.endpoints[i].address);
+                EXPECT_EQ(targets[i].destination, expected.endpoints[i].destination);
+                EXPECT_EQ(targets[i].condition, expected.endpoints[i].condition);
             }
         }
     }
@@ -169,14 +172,14 @@
     const std::string one = member("s-1", "10.1.0.17:1", 1).dump() + ",";
     for (const std::string& rest :
         {one, std::string("{\"id\":\"") + "x", std::string(" "), std::string("["), std::string("1")}) {
-        ListReader reader({1000, 1 << 20}, [](const Target&) {});
+        ListReader reader({1000, 1 << 20}, [](const EndpointRecord&) {});
         reader.feed(start);
         const std::string piece = rest == one ? one : std::string(1000, rest.back());
         const auto forever = [&] {
             if (rest.size() > 1 && rest != one) reader.feed(rest);
             for (int i = 0; i < 10'000; ++i) reader.feed(piece);
         };
-        EXPECT_THROW(forever(), cometspoke::settings::BadInput) << rest;
+        EXPECT_THROW(forever(), cometspoke::settings::InvalidInput) << rest;
         EXPECT_LE(reader.bytes(), (1u << 20) + 1000) << rest;
         EXPECT_LE(reader.entries(), 1001u);
     }
@@ -196,22 +199,23 @@
 class ListUpdateTest : public DirectoryTest {
 protected:
     static std::string name(std::size_t number) { return "s-" + std::to_string(number); }
-    static std::vector<Target> many(std::size_t count) {
-        std::vector<Target> all;
+    static std::vector<EndpointRecord> many(std::size_t count) {
+        std::vector<EndpointRecord> all;
         for (std::size_t i = 0; i < count; ++i) all.push_back(target(name(i), static_cast<int>(i)));
         return all;
     }
     /// All slices, each told to the directory.
-    std::vector<std::vector<Target>> update(const std::vector<Target>& arrived, bool complete = true) {
+    std::vector<std::vector<EndpointRecord>> update(
+        const std::vector<EndpointRecord>& arrived, bool complete = true) {
         ListUpdate update(directory);
-        for (const Target& one : arrived) update.take(one);
+        for (const EndpointRecord& one : arrived) update.take(one);
         update.finish(complete);
-        std::vector<std::vector<Target>> slices;
+        std::vector<std::vector<EndpointRecord>> slices;
         while (const auto slice = update.next()) {
-            EXPECT_LE(slice->targets.size(), ListUpdate::kSlice);
+            EXPECT_LE(slice->endpoints.size(), ListUpdate::kSlice);
             EXPECT_FALSE(slice->complete);
-            directory.listed(*slice, now);
-            if (!slice->targets.empty()) slices.push_back(slice->targets);
+            directory.apply(*slice, now);
+            if (!slice->endpoints.empty()) slices.push_back(slice->endpoints);
         }
         return slices;
     }
@@ -221,7 +225,7 @@
     const auto slices = update(many(3000));
     EXPECT_GE(slices.size(), 3000 / ListUpdate::kSlice);
     EXPECT_EQ(directory.size(), 3000u);
-    EXPECT_TRUE(directory.has(2999, now));
+    EXPECT_TRUE(directory.has_destination(2999, now));
 }
 
 TEST_F(ListUpdateTest, TellsNothingOfARepeatedList) {
@@ -234,20 +238,20 @@
 // A drain has 2 s from the telling: it must not wait behind hundreds of thousands of new targets.
 TEST_F(ListUpdateTest, TellsDrainsAndWhatHasGoneFirst) {
     update(many(3000));
-    std::vector<Target> next;
+    std::vector<EndpointRecord> next;
     for (std::size_t i = 2000; i < 6000; ++i) next.push_back(target(name(i), static_cast<int>(i)));
     next[999].condition = Condition::Draining;
     next.push_back(target(name(5999), 5999, Condition::Draining));  // the later entry holds
     std::vector<Condition> order;
     for (const auto& slice : update(next))
-        for (const Target& one : slice) order.push_back(one.condition);
+        for (const EndpointRecord& one : slice) order.push_back(one.condition);
     ASSERT_EQ(order.size(), 2u + 2000u + 2999u);
     EXPECT_EQ(std::count(order.begin(), order.begin() + 2, Condition::Draining), 2);
-    EXPECT_EQ(std::count(order.begin() + 2, order.begin() + 2002, Condition::Gone), 2000);
+    EXPECT_EQ(std::count(order.begin() + 2, order.begin() + 2002, Condition::Removed), 2000);
     EXPECT_EQ(std::count(order.begin() + 2002, order.end(), Condition::Ready), 2999);
     EXPECT_EQ(directory.size(), 4000u);
-    EXPECT_FALSE(directory.target_of(name(0)));
-    EXPECT_EQ(directory.target_of(name(5999))->condition, Condition::Draining);
+    EXPECT_FALSE(directory.record_of(name(0)));
+    EXPECT_EQ(directory.record_of(name(5999))->condition, Condition::Draining);
 }
 
 TEST_F(ListUpdateTest, OneThatIsDroppedChangesNothing) {
@@ -259,7 +263,7 @@
     }
     EXPECT_EQ(directory.size(), 10u);
     EXPECT_FALSE(directory.find("new"));
-    EXPECT_EQ(directory.target_of(name(1))->condition, Condition::Ready);
+    EXPECT_EQ(directory.record_of(name(1))->condition, Condition::Ready);
     EXPECT_TRUE(update(many(10)).empty());
 }
 
--- a/tests/fleet_world.hpp
+++ b/tests/fleet_world.hpp
@@ -47,7 +47,7 @@
     std::vector<Outage> outages;
 };
 
-/// One destination, its endpoints and the fleet that sends to it. Settings::n_instances senders take part.
+/// One destination, its endpoints and the fleet that sends to it. Settings::instance_count senders take part.
 struct FleetPlan {
     Settings settings;
     std::vector<EndpointPlan> endpoints;
@@ -66,13 +66,13 @@
 
 /// An attempt with this outcome never ran.
 inline bool never_ran(Outcome outcome) {
-    return outcome == Outcome::TurnedAway || outcome == Outcome::NoConnection ||
-           outcome == Outcome::NotSent || outcome == Outcome::Withheld;
+    return outcome == Outcome::Rejected || outcome == Outcome::ConnectFailed || outcome == Outcome::NotSent ||
+           outcome == Outcome::Withheld;
 }
 
 /// How an endpoint answers one call.
 struct Reply {
-    Outcome outcome = Outcome::Served;
+    Outcome outcome = Outcome::Delivered;
     Time delay{0};
     Time wait{0};  ///< told with the answer
 };
@@ -94,14 +94,15 @@
             if (outage.from <= now && now < outage.until) return &outage;
         return nullptr;
     }
-    /// Part of its capacity that it has now: cold_from at the end of an outage, 1 from warm_within on.
+    /// Part of its capacity that it has now: cold_capacity_share at the end of an outage, 1 from warm_up_time
+    /// on.
     double warmth(Time now) const {
         double part = 1.0;
         for (const Outage& outage : plan_.outages)
-            if (outage.cold_after && outage.until <= now && now < outage.until + settings_.warm_within)
-                part = std::min(
-                    part, settings_.cold_from +
-                              (1.0 - settings_.cold_from) * share(now - outage.until, settings_.warm_within));
+            if (outage.cold_after && outage.until <= now && now < outage.until + settings_.warm_up_time)
+                part = std::min(part,
+                    settings_.cold_capacity_share + (1.0 - settings_.cold_capacity_share) *
+                                                        share(now - outage.until, settings_.warm_up_time));
         return part;
     }
     double present_capacity(Time now) const {
@@ -111,9 +112,9 @@
     /// Counts a call that arrives while it is up. True where it falls over by this call.
     bool falls_over(Time now) {
         recent_.push_back(now);
-        while (recent_.front() <= now - settings_.fall) recent_.pop_front();
-        const double expected = settings_.fall_multiple * present_capacity(now) *
-                                static_cast<double>(settings_.fall.count()) / 1e6;
+        while (recent_.front() <= now - settings_.overload_window) recent_.pop_front();
+        const double expected = settings_.overload_multiple * present_capacity(now) *
+                                static_cast<double>(settings_.overload_window.count()) / 1e6;
         if (static_cast<double>(recent_.size()) <= expected + 2.0 * std::sqrt(expected) + 2.0) return false;
         ++relapses_;
         plan_.outages.push_back({OutageKind::RefusesConnects, now, now + kRelapse, true});
@@ -125,7 +126,7 @@
         if (plan_.limit_per_s && !admits(*plan_.limit_per_s, now)) return refusal(*plan_.limit_per_s, now);
         const double spread = std::uniform_real_distribution<double>(0.8, 1.2)(random);
         worked_off_ = std::max(worked_off_, now) + scaled(ms(1'000), 1.0 / present_capacity(now));
-        return Reply{Outcome::Served, worked_off_ - now + scaled(plan_.service_time, spread), Time(0)};
+        return Reply{Outcome::Delivered, worked_off_ - now + scaled(plan_.service_time, spread), Time(0)};
     }
     /// An outage begins: its queue is lost, and the calls before say nothing of those that it stands after.
     void restart() {
@@ -143,17 +144,17 @@
     static std::optional<Reply> answer_when_out(const Outage& outage, Time now) {
         switch (outage.kind) {
             case OutageKind::RefusesConnects:
-                return Reply{Outcome::NoConnection, kQuickAnswer, Time(0)};
+                return Reply{Outcome::ConnectFailed, kQuickAnswer, Time(0)};
             case OutageKind::ServerErrors:
                 return Reply{Outcome::ServerError, kQuickAnswer, Time(0)};
             case OutageKind::Resets:
                 return Reply{Outcome::ConnectionLost, kQuickAnswer, Time(0)};
             case OutageKind::Shut:
-                return Reply{Outcome::TurnedAway, kQuickAnswer, Time(0)};
+                return Reply{Outcome::Rejected, kQuickAnswer, Time(0)};
             case OutageKind::ShutUntil:
-                return Reply{Outcome::TurnedAway, kQuickAnswer, std::max(ms(1), outage.until - now)};
+                return Reply{Outcome::Rejected, kQuickAnswer, std::max(ms(1), outage.until - now)};
             case OutageKind::Slow:
-                return Reply{Outcome::Served, kSlowAnswer, Time(0)};
+                return Reply{Outcome::Delivered, kSlowAnswer, Time(0)};
             case OutageKind::Hangs:
                 break;
         }
@@ -168,7 +169,7 @@
     }
     Reply refusal(double limit_per_s, Time now) const {
         const Time until = limit_tag_ + scaled(ms(1'000), 1.0 / limit_per_s) - now + ms(1);
-        return Reply{Outcome::TurnedAway, kQuickAnswer, plan_.tells_wait ? until + kLimitBurst / 5 : Time(0)};
+        return Reply{Outcome::Rejected, kQuickAnswer, plan_.tells_wait ? until + kLimitBurst / 5 : Time(0)};
     }
 
     EndpointPlan plan_;
@@ -185,8 +186,8 @@
     RuleChecker(const Settings& settings, const std::vector<EndpointPlan>& endpoints)
         : settings_(settings),
           endpoints_(endpoints),
-          calls_out_(settings.n_instances, 0),
-          waits_(settings.n_instances) {}
+          calls_out_(settings.instance_count, 0),
+          waits_(settings.instance_count) {}
 
     struct Record {
         std::size_t sender = 0;
@@ -209,7 +210,7 @@
         record.sender = sender;
         record.event = event;
         record.born = now;
-        record.deadline = now + event.left;
+        record.deadline = now + event.time_left;
         note(event.message, "arrived", now);
         if (event.key) lines_[{sender, *event.key}].waiting.push_back(event.message);
     }
@@ -221,8 +222,8 @@
         require(id, !record.answered, "sent after its final answer");
         require(id, record.out == 0, "two attempts at once");
         require(id, record.attempts < settings_.max_attempts, "more than max_attempts");
-        require(
-            id, static_cast<std::size_t>(calls_out_[sender]) < settings_.slots, "more calls out than slots");
+        require(id, static_cast<std::size_t>(calls_out_[sender]) < settings_.max_calls,
+            "more calls out than slots");
         require(id, waits_[sender][route_of(send.endpoint)] <= now, "sent inside a told wait");
         check_repeat(record, send, now);
         check_order(record, id, now);
@@ -236,18 +237,18 @@
         --record.out;
         --calls_out_[sender];
         Time& wait = waits_[sender][route_of(event.endpoint)];
-        wait = std::max(wait, now + event.wait);
+        wait = std::max(wait, now + event.retry_after);
         if (!never_ran(event.outcome) && (!record.doubt_since || sent < *record.doubt_since)) {
             record.doubt_since = sent;
             record.doubt_at = event.endpoint;
         }
         if (record.event.key) rest(record, event, now);
-        if (event.outcome != Outcome::Served || record.answered) return;
+        if (event.outcome != Outcome::Delivered || record.answered) return;
         record.answered = record.served = now;
     }
     void refused(std::size_t sender, MessageId id, Time now) {
         const Record& record = records_.at(id);
-        const bool fragile = class_of(record).effect == Effect::Fragile;
+        const bool fragile = class_of(record).delivery == DeliverySemantics::AtMostOnce;
         note(id, "refused", now);
         require(id, !fragile || (record.out == 0 && !record.doubt_since), "refused though it may have run");
         final_answer(sender, id, now);
@@ -275,14 +276,15 @@
     }
     // A told wait binds the destination, or the endpoint where routes are apart.
     EndpointId route_of(EndpointId endpoint) const {
-        return settings_.kinds.at(0).routes_apart ? endpoint : 0;
+        return settings_.kinds.at(0).limits_per_endpoint ? endpoint : 0;
     }
     void check_repeat(const Record& record, const Send& send, Time now) {
         const ClassSettings& kind = class_of(record);
-        if (!record.doubt_since || kind.effect == Effect::Retryable) return;
-        require(send.message, kind.effect != Effect::Fragile, "fragile, sent again though it may have run");
-        if (kind.effect != Effect::Dedup) return;
-        require(send.message, now <= *record.doubt_since + kind.window, "repeated outside its window");
+        if (!record.doubt_since || kind.delivery == DeliverySemantics::Retryable) return;
+        require(send.message, kind.delivery != DeliverySemantics::AtMostOnce,
+            "fragile, sent again though it may have run");
+        if (kind.delivery != DeliverySemantics::Deduplicated) return;
+        require(send.message, now <= *record.doubt_since + kind.dedup_window, "repeated outside its window");
         const EndpointId first = record.doubt_at.value_or(send.endpoint);
         if (kind.dedup_scope == DedupScope::Endpoint)
             require(send.message, first == send.endpoint, "repeated at another endpoint");
@@ -302,11 +304,11 @@
         return record.answered && record.out == 0;
     }
     void rest(const Record& record, const OutcomeEvent& event, Time now) {
-        if (event.outcome != Outcome::NoAnswer && event.outcome != Outcome::ConnectionLost &&
-            event.outcome != Outcome::CalledOff)
+        if (event.outcome != Outcome::TimedOut && event.outcome != Outcome::ConnectionLost &&
+            event.outcome != Outcome::Cancelled)
             return;
         KeyLine& line = lines_.at({record.sender, *record.event.key});
-        line.rest_until = std::max(line.rest_until, now + settings_.settle_after_doubt);
+        line.rest_until = std::max(line.rest_until, now + settings_.ambiguous_settle_time);
         line.rest_for = event.message;
     }
     void final_answer(std::size_t sender, MessageId id, Time now) {
@@ -340,7 +342,7 @@
         : plan_(std::move(plan)), random_(plan_.seed), rules_(plan_.settings, plan_.endpoints) {
         for (const EndpointPlan& endpoint : plan_.endpoints)
             endpoints_.emplace_back(endpoint, plan_.settings);
-        for (std::size_t index = 0; index < plan_.settings.n_instances; ++index) add_sender(index);
+        for (std::size_t index = 0; index < plan_.settings.instance_count; ++index) add_sender(index);
         for (EndpointId id = 0; id < endpoints_.size(); ++id)
             for (const Outage& outage : endpoints_[id].outages())
                 at(outage.from, [this, id, kind = outage.kind] { begin_outage(id, kind); });
@@ -381,8 +383,8 @@
         for (const ModelledEndpoint& endpoint : endpoints_) sum += endpoint.relapses();
         return sum;
     }
-    /// What one that sees the true state, one `fall` late, would deliver in time: it holds messages while all
-    /// is out, then sends at the present capacity, earliest first.
+    /// What one that sees the true state, one `overload_window` late, would deliver in time: it holds
+    /// messages while all is out, then sends at the present capacity, earliest first.
     std::size_t served_by_oracle() const;
 
 private:
@@ -433,11 +435,11 @@
         const std::size_t index = pick(members_.size());
         MessageEvent event;
         event.message = ++messages_;
-        event.left = plan_.settings.classes[0].deadline;
+        event.time_left = plan_.settings.classes[0].deadline;
         if (!plan_.settings.tenants.empty()) event.tenant = pick(plan_.settings.tenants.size());
         if (plan_.keys > 0) event.key = pick(plan_.keys);
         rules_.arrived(index, event, now_);
-        at(now_ + event.left + kAnswerSlack, [this, id = event.message] { rules_.overdue(id); });
+        at(now_ + event.time_left + kAnswerSlack, [this, id = event.message] { rules_.overdue(id); });
         observe(index, event);
         schedule_arrival();
     }
@@ -455,9 +457,9 @@
         rules_.sent(index, send, now_);
         const CallId call = ++calls_;
         calls_out_.emplace(call, CallOut{index, send.endpoint, send.message, attempt, now_, false});
-        at(now_ + send.time_out, [this, call] { end_call(call, {Outcome::NoAnswer, Time(0), Time(0)}); });
+        at(now_ + send.timeout, [this, call] { end_call(call, {Outcome::TimedOut, Time(0), Time(0)}); });
         if (!take_connection(index, send.endpoint)) {
-            const Reply no_room{Outcome::NoConnection, kQuickAnswer, Time(0)};
+            const Reply no_room{Outcome::ConnectFailed, kQuickAnswer, Time(0)};
             return at(now_ + no_room.delay, [this, call, no_room] { end_call(call, no_room); });
         }
         ModelledEndpoint& endpoint = endpoints_[send.endpoint];
@@ -471,7 +473,7 @@
     void act(std::size_t index, const CancelAttempt& cancel) {
         for (const auto& [call, out] : calls_out_)
             if (out.sender == index && out.message == cancel.message && out.attempt == cancel.attempt)
-                at(now_, [this, id = call] { end_call(id, {Outcome::CalledOff, Time(0), Time(0)}); });
+                at(now_, [this, id = call] { end_call(id, {Outcome::Cancelled, Time(0), Time(0)}); });
     }
     void act(std::size_t index, const Refuse& refuse) { rules_.refused(index, refuse.message, now_); }
     void act(std::size_t index, const Fail& fail) { rules_.failed(index, fail.message, now_); }
@@ -498,13 +500,14 @@
         event.endpoint = out.endpoint;
         event.attempt = out.attempt;
         event.outcome = reply.outcome;
-        event.terminal = reply.outcome == Outcome::Served;
+        event.terminal = reply.outcome == Outcome::Delivered;
         event.rtt = now_ - out.sent;
-        event.wait = reply.wait;
-        const bool stays = reply.outcome == Outcome::Served || reply.outcome == Outcome::ServerError ||
-                           reply.outcome == Outcome::TurnedAway;
-        if (stays) members_[out.sender].idle[out.endpoint].push_back(now_ + plan_.settings.conn_idle);
-        if (reply.outcome == Outcome::Served) served_sent_.emplace(out.sent, now_);
+        event.retry_after = reply.wait;
+        const bool stays = reply.outcome == Outcome::Delivered || reply.outcome == Outcome::ServerError ||
+                           reply.outcome == Outcome::Rejected;
+        if (stays)
+            members_[out.sender].idle[out.endpoint].push_back(now_ + plan_.settings.connection_idle_limit);
+        if (reply.outcome == Outcome::Delivered) served_sent_.emplace(out.sent, now_);
         rules_.ended(out.sender, event, out.sent, now_);
         observe(out.sender, event);
     }
@@ -575,8 +578,8 @@
         for (; next != last && next->second.born <= now; ++next) held.push_back(&next->second);
         double capacity = 0.0;
         for (const ModelledEndpoint& endpoint : unharmed)
-            capacity += std::min(
-                endpoint.present_capacity(now), endpoint.present_capacity(now - plan_.settings.fall));
+            capacity += std::min(endpoint.present_capacity(now),
+                endpoint.present_capacity(now - plan_.settings.overload_window));
         credit = std::min(credit, 1.0) + capacity * static_cast<double>(kStep.count()) / 1e6;
         while (!held.empty() &&
                (held.front()->deadline < now + plan_.endpoints[0].service_time || credit >= 1.0)) {
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -11,11 +11,11 @@
 
 constexpr Time ms(std::int64_t count) { return Time(count * 1000); }
 
-inline ClassSettings make_class(Effect effect) {
+inline ClassSettings make_class(DeliverySemantics effect) {
     ClassSettings result;
-    result.effect = effect;
-    result.window = ms(5000);
-    result.aim = ms(2000);
+    result.delivery = effect;
+    result.dedup_window = ms(5000);
+    result.target_latency = ms(2000);
     result.deadline = ms(20000);
     return result;
 }
@@ -24,25 +24,25 @@
 
 inline Settings make_settings() {
     Settings settings;
-    settings.classes = {make_class(Effect::Retryable), make_class(Effect::Dedup), make_class(Effect::Fragile),
-        make_class(Effect::Retryable)};
+    settings.classes = {make_class(DeliverySemantics::Retryable), make_class(DeliverySemantics::Deduplicated),
+        make_class(DeliverySemantics::AtMostOnce), make_class(DeliverySemantics::Retryable)};
     settings.classes[kSequential].sequential = true;
     settings.kinds.resize(3);
-    settings.kinds[1].routes_apart = true;
-    settings.kinds[2].per_call = 4;
+    settings.kinds[1].limits_per_endpoint = true;
+    settings.kinds[2].max_messages_per_call = 4;
     settings.zones = 2;
     settings.zone = 0;
     settings.tenants = {{10.0}};
-    settings.slots = 8;
-    settings.most_held = 100;
+    settings.max_calls = 8;
+    settings.max_held_messages = 100;
     settings.max_attempts = 4;
-    settings.cancel = true;
-    settings.conn_idle = ms(10000);
-    settings.fall = ms(2000);
-    settings.warm_within = ms(10000);
-    settings.settle_after_doubt = ms(300);
-    settings.fall_multiple = 2.0;
-    settings.cold_from = 0.2;
+    settings.can_cancel = true;
+    settings.connection_idle_limit = ms(10000);
+    settings.overload_window = ms(2000);
+    settings.warm_up_time = ms(10000);
+    settings.ambiguous_settle_time = ms(300);
+    settings.overload_multiple = 2.0;
+    settings.cold_capacity_share = 0.2;
     return settings;
 }
 
@@ -63,7 +63,7 @@
     void list(EndpointId endpoint, DestinationId destination, std::size_t kind = 0, double rate = 0.0,
         Condition condition = Condition::Ready, std::size_t zone = 0) {
         ListEvent event;
-        event.kind = ListKind::Changes;
+        event.kind = ListUpdateKind::Delta;
         event.entries.push_back({endpoint, destination, zone, kind, rate, condition});
         sender.observe(event, now);
     }
@@ -78,9 +78,9 @@
         event.endpoint = send.endpoint;
         event.attempt = attempt;
         event.outcome = result;
-        event.terminal = result == Outcome::Served;
+        event.terminal = result == Outcome::Delivered;
         event.rtt = rtt;
-        event.wait = wait;
+        event.retry_after = wait;
         event.report = report;
         sender.observe(event, now);
     }
--- a/tests/journal_test.cpp
+++ b/tests/journal_test.cpp
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kRoom = 1 << 20;
-const Wall kNow{std::chrono::seconds(1'700'000'000)};
+const PersistentTime kNow{std::chrono::seconds(1'700'000'000)};
 
 Message make_message(MessageId id, std::string body = "body") {
     return {id, "order", "acme", "key", 7, kNow + milliseconds(8000), std::move(body)};
@@ -37,11 +37,11 @@
 TEST(Journal, BringsBackTheOrderKey) {
     TemporaryFolder folder;
     Message message = make_message(1);
-    message.terms.emplace().sequential = true;
+    message.class_settings.emplace().sequential = true;
     message.order_key = 0x6483caaef320d;
     {
         Journal journal(folder.path(), kRoom);
-        ASSERT_TRUE(journal.take_on(message));
+        ASSERT_TRUE(journal.accept(message));
     }
     Journal journal(folder.path(), kRoom);
     ASSERT_NE(journal.find(1), nullptr);
@@ -52,41 +52,41 @@
     TemporaryFolder folder;
     {
         Journal journal(folder.path(), kRoom);
-        ASSERT_TRUE(journal.take_on(make_message(2)));
-        ASSERT_TRUE(journal.take_on(make_message(1, std::string("\0\n", 2))));
-        ASSERT_TRUE(journal.take_on(make_message(3)));
-        ASSERT_TRUE(journal.take_on(make_message(4)));
-        ASSERT_TRUE(journal.begin_attempt(2, "s-1", kNow));
+        ASSERT_TRUE(journal.accept(make_message(2)));
+        ASSERT_TRUE(journal.accept(make_message(1, std::string("\0\n", 2))));
+        ASSERT_TRUE(journal.accept(make_message(3)));
+        ASSERT_TRUE(journal.accept(make_message(4)));
+        ASSERT_TRUE(journal.start_attempt(2, "s-1", kNow));
         EXPECT_TRUE(journal.end_attempt(2, true));
-        ASSERT_TRUE(journal.begin_attempt(2, "s-2", kNow + milliseconds(5)));
+        ASSERT_TRUE(journal.start_attempt(2, "s-2", kNow + milliseconds(5)));
         EXPECT_TRUE(journal.end_attempt(2, false));
-        ASSERT_TRUE(journal.begin_attempt(2, "s-4", kNow + milliseconds(7)));
+        ASSERT_TRUE(journal.start_attempt(2, "s-4", kNow + milliseconds(7)));
         EXPECT_TRUE(journal.withdraw_attempt(2));
-        ASSERT_TRUE(journal.begin_attempt(2, "s-3", kNow + milliseconds(9)));
+        ASSERT_TRUE(journal.start_attempt(2, "s-3", kNow + milliseconds(9)));
         EXPECT_TRUE(journal.delivered(3));
         EXPECT_TRUE(journal.end(4, {true, milliseconds(500)}));
     }
     for (int restart = 0; restart < 2; ++restart) {  // the second reads what the first compacted
         Journal journal(folder.path(), kRoom);
         ASSERT_EQ(journal.entries().size(), 3u);
-        EXPECT_EQ(journal.in_order()[0]->message.id, 2u);
-        EXPECT_EQ(journal.in_order()[1]->message.id, 1u);
-        const Entry& tried = *journal.find(2);
+        EXPECT_EQ(journal.entries_by_arrival()[0]->message.id, 2u);
+        EXPECT_EQ(journal.entries_by_arrival()[1]->message.id, 1u);
+        const JournalEntry& tried = *journal.find(2);
         EXPECT_EQ(tried.attempts, 3u);
-        ASSERT_TRUE(tried.may_have_run());
-        EXPECT_EQ(tried.may_have_run()->target, "s-2");
-        EXPECT_EQ(tried.may_have_run()->since, kNow + milliseconds(5));
+        ASSERT_TRUE(tried.first_possible_run());
+        EXPECT_EQ(tried.first_possible_run()->endpoint, "s-2");
+        EXPECT_EQ(tried.first_possible_run()->since, kNow + milliseconds(5));
         const Message& untried = journal.find(1)->message;
         EXPECT_EQ(untried.body, std::string("\0\n", 2));
         EXPECT_EQ(untried.key, "key");
         EXPECT_EQ(untried.destination, 7);
         EXPECT_EQ(untried.deadline, kNow + milliseconds(8000));
-        EXPECT_FALSE(journal.find(1)->may_have_run());
+        EXPECT_FALSE(journal.find(1)->first_possible_run());
         ASSERT_TRUE(journal.find(4)->notice);
-        EXPECT_EQ(journal.find(4)->notice->wait, milliseconds(500));
+        EXPECT_EQ(journal.find(4)->notice->retry_after, milliseconds(500));
     }
     Journal journal(folder.path(), kRoom);
-    EXPECT_TRUE(journal.confirmed(4));
+    EXPECT_TRUE(journal.confirm_notice(4));
     EXPECT_EQ(Journal(folder.path(), kRoom).entries().size(), 2u);
 }
 
@@ -95,9 +95,9 @@
     TemporaryFolder folder;
     {
         Journal journal(folder.path(), kRoom);
-        for (const MessageId id : {1, 2, 3}) ASSERT_TRUE(journal.take_on(make_message(id)));
-        for (const MessageId id : {1, 2}) ASSERT_TRUE(journal.begin_attempt(id, "s-1", kNow));
-        ASSERT_TRUE(journal.write_attempt(2));
+        for (const MessageId id : {1, 2, 3}) ASSERT_TRUE(journal.accept(make_message(id)));
+        for (const MessageId id : {1, 2}) ASSERT_TRUE(journal.start_attempt(id, "s-1", kNow));
+        ASSERT_TRUE(journal.mark_attempt_written(2));
     }
     // as an earlier version wrote it, which did not tell the two apart
     std::string begun("\2\3\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\3\0\0\0s-1", 24);
@@ -109,10 +109,10 @@
     for (int restart = 0; restart < 2; ++restart) {  // the second reads what the first compacted
         const Journal journal(folder.path(), kRoom);
         EXPECT_EQ(journal.find(1)->attempts, 1u);
-        EXPECT_FALSE(journal.find(1)->may_have_run());
-        EXPECT_TRUE(journal.find(2)->may_have_run());
+        EXPECT_FALSE(journal.find(1)->first_possible_run());
+        EXPECT_TRUE(journal.find(2)->first_possible_run());
         EXPECT_EQ(journal.find(3)->attempts, 1u);
-        EXPECT_TRUE(journal.find(3)->may_have_run());
+        EXPECT_TRUE(journal.find(3)->first_possible_run());
     }
 }
 
@@ -121,26 +121,27 @@
     TemporaryFolder folder;
     {
         Journal journal(folder.path(), kRoom);
-        for (const MessageId id : {1, 2, 3}) ASSERT_TRUE(journal.take_on(make_message(id)));
+        for (const MessageId id : {1, 2, 3}) ASSERT_TRUE(journal.accept(make_message(id)));
         EXPECT_TRUE(journal.delivered(1));
         EXPECT_TRUE(journal.end(2, {}));
-        EXPECT_EQ(journal.over().size(), 1u);  // 2 is still an entry
-        EXPECT_TRUE(journal.confirmed(2));
+        EXPECT_EQ(journal.ended_ids().size(), 1u);  // 2 is still an entry
+        EXPECT_TRUE(journal.confirm_notice(2));
     }
     for (int restart = 0; restart < 2; ++restart)  // the second reads what the first compacted
-        EXPECT_EQ(Journal(folder.path(), kRoom).over(),
-            (std::multimap<Wall, MessageId>{{kNow + milliseconds(8000), 1}, {kNow + milliseconds(8000), 2}}));
+        EXPECT_EQ(Journal(folder.path(), kRoom).ended_ids(),
+            (std::multimap<PersistentTime, MessageId>{
+                {kNow + milliseconds(8000), 1}, {kNow + milliseconds(8000), 2}}));
     Journal journal(folder.path(), kRoom);
-    journal.forget_over(kNow + milliseconds(7999));
-    EXPECT_EQ(journal.over().size(), 2u);
-    journal.forget_over(kNow + milliseconds(8000));
-    EXPECT_TRUE(journal.over().empty());
+    journal.forget_ended_ids(kNow + milliseconds(7999));
+    EXPECT_EQ(journal.ended_ids().size(), 2u);
+    journal.forget_ended_ids(kNow + milliseconds(8000));
+    EXPECT_TRUE(journal.ended_ids().empty());
     for (MessageId id = 10; id < 10'010; ++id) {
-        ASSERT_TRUE(journal.take_on(make_message(id)));
+        ASSERT_TRUE(journal.accept(make_message(id)));
         EXPECT_TRUE(journal.delivered(id));
     }
-    EXPECT_LE(journal.over().size() * 25, kRoom / 10);
-    EXPECT_TRUE(journal.over().rbegin()->second == 10'009u);  // the latest stay
+    EXPECT_LE(journal.ended_ids().size() * 25, kRoom / 10);
+    EXPECT_TRUE(journal.ended_ids().rbegin()->second == 10'009u);  // the latest stay
     EXPECT_LE(bytes_on_disk(folder.path()), kRoom);
 }
 
@@ -152,7 +153,7 @@
     {
         Journal journal(folder.path(), kRoom);
         for (MessageId id = 1; id <= 3; ++id) {
-            ASSERT_TRUE(journal.take_on(make_message(id)));
+            ASSERT_TRUE(journal.accept(make_message(id)));
             ends.push_back(std::filesystem::file_size(folder.path() / "journal"));
         }
     }
@@ -163,14 +164,14 @@
         const auto kept =
             std::count_if(ends.begin(), ends.end(), [cut](std::size_t end) { return end <= cut; });
         ASSERT_EQ(journal.entries().size(), static_cast<std::size_t>(kept)) << cut;
-        ASSERT_TRUE(journal.take_on(make_message(9)));  // and goes on behind what is left
+        ASSERT_TRUE(journal.accept(make_message(9)));  // and goes on behind what is left
         ASSERT_NE(Journal(folder.path(), kRoom).find(9), nullptr) << cut;
     }
 }
 
 TEST(Journal, SurvivesGarbage) {
     TemporaryFolder folder;
-    { ASSERT_TRUE(Journal(folder.path(), kRoom).take_on(make_message(1))); }
+    { ASSERT_TRUE(Journal(folder.path(), kRoom).accept(make_message(1))); }
     const std::string whole = bytes_of(folder.path() / "journal");
     for (std::size_t at = 0; at < whole.size(); ++at) {
         std::string spoilt = whole;
@@ -188,10 +189,10 @@
     constexpr std::size_t room = 64 * 1024;
     TemporaryFolder folder;
     Journal journal(folder.path(), room);
-    ASSERT_TRUE(journal.take_on(make_message(1)));
+    ASSERT_TRUE(journal.accept(make_message(1)));
     for (MessageId id = 2; id < 400; ++id) {
-        ASSERT_TRUE(journal.take_on(make_message(id, std::string(1000, 'b')))) << id;
-        ASSERT_TRUE(journal.begin_attempt(id, "s-1", kNow));
+        ASSERT_TRUE(journal.accept(make_message(id, std::string(1000, 'b')))) << id;
+        ASSERT_TRUE(journal.start_attempt(id, "s-1", kNow));
         EXPECT_TRUE(journal.delivered(id));
         ASSERT_LE(bytes_on_disk(folder.path()), room);
     }
@@ -203,38 +204,38 @@
     TemporaryFolder folder;
     Journal journal(folder.path(), room);
     MessageId taken = 0;
-    while (taken < 1000 && journal.take_on(make_message(taken + 1, std::string(1000, 'b')))) ++taken;
+    while (taken < 1000 && journal.accept(make_message(taken + 1, std::string(1000, 'b')))) ++taken;
     EXPECT_GT(taken, 10u);
     EXPECT_LT(taken, 64u);
     for (int round = 0; round < 12; ++round)  // what was taken on can still be tried and ended
         for (MessageId id = 1; id <= taken; ++id) {
-            ASSERT_TRUE(journal.begin_attempt(id, "s-1", kNow));
+            ASSERT_TRUE(journal.start_attempt(id, "s-1", kNow));
             EXPECT_TRUE(journal.end_attempt(id, true));
             ASSERT_LE(bytes_on_disk(folder.path()), room);
         }
     for (MessageId id = 1; id <= taken; ++id) EXPECT_TRUE(journal.delivered(id));
-    EXPECT_TRUE(journal.take_on(make_message(5000)));
+    EXPECT_TRUE(journal.accept(make_message(5000)));
 }
 
 // A full disk ends a write short: nothing may be said to be kept that is not, and no half record may stay.
 TEST(Journal, ToldOfAFullDiskTakesNothingOn) {
     TemporaryFolder folder;
     Journal journal(folder.path(), kRoom);
-    ASSERT_TRUE(journal.take_on(make_message(1)));
+    ASSERT_TRUE(journal.accept(make_message(1)));
     const auto size = std::filesystem::file_size(folder.path() / "journal");
     std::signal(SIGXFSZ, SIG_IGN);
     rlimit before{};
     getrlimit(RLIMIT_FSIZE, &before);
     const rlimit full{size + 10, before.rlim_max};
     setrlimit(RLIMIT_FSIZE, &full);
-    const bool taken = journal.take_on(make_message(2));
-    const bool begun = journal.begin_attempt(1, "s-1", kNow);
+    const bool taken = journal.accept(make_message(2));
+    const bool begun = journal.start_attempt(1, "s-1", kNow);
     setrlimit(RLIMIT_FSIZE, &before);
     EXPECT_FALSE(taken);
     EXPECT_FALSE(begun);
     EXPECT_EQ(journal.find(1)->attempts, 0u);  // it must not begin, and is none
     EXPECT_EQ(std::filesystem::file_size(folder.path() / "journal"), size);
-    ASSERT_TRUE(journal.take_on(make_message(3)));
+    ASSERT_TRUE(journal.accept(make_message(3)));
     Journal back(folder.path(), kRoom);
     EXPECT_EQ(back.find(2), nullptr);
     EXPECT_NE(back.find(3), nullptr);
@@ -251,7 +252,7 @@
     TemporaryFolder folder;
     {
         Journal journal(folder.path(), kRoom);
-        for (const MessageId id : {1, 2}) ASSERT_TRUE(journal.take_on(make_message(id)));
+        for (const MessageId id : {1, 2}) ASSERT_TRUE(journal.accept(make_message(id)));
     }
     const std::string whole = bytes_of(folder.path() / "journal");
     write_bytes(folder.path() / "journal", whole.substr(0, whole.size() - 1));
@@ -273,7 +274,7 @@
     {
         Journal journal(folder.path(), kRoom);
         for (MessageId id = 1; id <= 40; ++id)
-            ASSERT_TRUE(journal.take_on(make_message(id, std::string(1000, 'b'))));
+            ASSERT_TRUE(journal.accept(make_message(id, std::string(1000, 'b'))));
     }
     ::testing::internal::CaptureStderr();
     {
@@ -294,7 +295,7 @@
         ::testing::internal::CaptureStderr();
         std::size_t refused = 0;
         for (MessageId id = 1; id <= 200; ++id)
-            refused += journal.take_on(make_message(id, std::string(1000, 'b'))) ? 0 : 1;
+            refused += journal.accept(make_message(id, std::string(1000, 'b'))) ? 0 : 1;
         const std::string log = ::testing::internal::GetCapturedStderr();
         EXPECT_EQ(lines_of(log), 1u) << log;
         EXPECT_NE(log.find("journal: full"), std::string::npos) << log;
@@ -306,14 +307,14 @@
 TEST(JournalLog, NamesADiskThatCannotBeWritten) {
     TemporaryFolder folder;
     Journal journal(folder.path(), kRoom);
-    ASSERT_TRUE(journal.take_on(make_message(1)));
+    ASSERT_TRUE(journal.accept(make_message(1)));
     std::signal(SIGXFSZ, SIG_IGN);
     rlimit before{};
     getrlimit(RLIMIT_FSIZE, &before);
     const rlimit full{std::filesystem::file_size(folder.path() / "journal") + 10, before.rlim_max};
     ::testing::internal::CaptureStderr();
     setrlimit(RLIMIT_FSIZE, &full);
-    for (const MessageId id : {2, 3, 4}) EXPECT_FALSE(journal.take_on(make_message(id)));
+    for (const MessageId id : {2, 3, 4}) EXPECT_FALSE(journal.accept(make_message(id)));
     setrlimit(RLIMIT_FSIZE, &before);
     const std::string log = ::testing::internal::GetCapturedStderr();
     EXPECT_NE(log.find("journal: cannot be written"), std::string::npos) << log;
@@ -329,8 +330,8 @@
         std::filesystem::create_directory(folder.path() / "journal");  // it opens, and cannot be read
         std::ofstream(folder.path() / "journal" / std::to_string(number));
         EXPECT_THROW(Journal(folder.path(), kRoom), std::system_error);
-        Journal journal(folder.path(), kRoom, Journal::Unreadable::KeepAside);
-        EXPECT_TRUE(journal.take_on(make_message(1)));
+        Journal journal(folder.path(), kRoom, Journal::OnReadError::KeepAside);
+        EXPECT_TRUE(journal.accept(make_message(1)));
     }
     for (int number = 1; number <= files; ++number) {
         const auto aside = folder.path() / ("journal.unread-" + std::to_string(number));
--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -11,8 +11,8 @@
 TEST(ManagementCall, IsReadFromItsRequestLine) {
     const auto read = [](http::verb method, const char* target) {
         OperatorCall call;
-        const Verdict verdict = read_call(method, target, call);
-        return std::pair(verdict.status, call.who);
+        const OperatorReply verdict = parse_operator_call(method, target, call);
+        return std::pair(verdict.status, call.endpoint);
     };
     EXPECT_EQ(read(http::verb::get, "/ready").first, status::ok);
     EXPECT_EQ(read(http::verb::post, "/ready").first, status::method_not_allowed);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -534,12 +534,13 @@
 // A change counts as told 6 s after the agent had it at the latest, and 4 s after a move to another agent;
 // what drains binds 2 s later. Each path is added up at its worst.
 TEST(Turns, OfALargeFleetLeaveTimeForTheRuleOnDrains) {
-    constexpr auto no_answer = Turns::kFirstHold + Turns::kFirstWithin, no_whole_list = Turns::kListWithin;
-    constexpr auto fallen_silent = Turns::kHold + Turns::kWithin;
+    constexpr auto no_answer = CallSchedule::kFirstHold + CallSchedule::kFirstWithin,
+                   no_whole_list = CallSchedule::kListWithin;
+    constexpr auto fallen_silent = CallSchedule::kHold + CallSchedule::kWithin;
     for (const std::size_t forwarders : {std::size_t(3), std::size_t(300), std::size_t(1) << 60}) {
         auto first = 0ms, moved = 0ms, pause = 0ms, silence = 0ms;
         for (std::uint64_t seed = 0; seed < 300; ++seed) {
-            Turns turns(forwarders, seed);
+            CallSchedule turns(forwarders, seed);
             first = std::max(first, turns.first());
             moved = std::max(moved, turns.moved());
             for (int failures = 1; failures < 9; ++failures) {
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -51,7 +51,8 @@
     std::size_t pick(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(random_); }
     bool chance(double p) { return std::bernoulli_distribution(p)(random_); }
     Condition condition() {
-        return std::array{Condition::Ready, Condition::Ready, Condition::Draining, Condition::Gone}[pick(4)];
+        return std::array{
+            Condition::Ready, Condition::Ready, Condition::Draining, Condition::Removed}[pick(4)];
     }
     static DestinationId destination_of(EndpointId id) { return id / 3; }
     // the wait binds the destination, or the endpoint where its kind (1) has routes apart
@@ -61,7 +62,7 @@
 
     void list(EndpointId id, Condition condition) {
         ListEvent event;
-        event.kind = ListKind::Changes;
+        event.kind = ListUpdateKind::Delta;
         event.entries.push_back(
             {id, destination_of(id), id % 2, static_cast<std::size_t>(destination_of(id)), 0.0, condition});
         conditions_[id] = condition;
@@ -74,8 +75,8 @@
         event.message_class = pick(4);
         if (event.message_class == kSequential) event.key = pick(5);
         if (chance(0.5)) event.tenant = 0;
-        event.left = ms(200 + static_cast<std::int64_t>(pick(9000)));
-        told_[event.message] = {event, now_ + event.left, false, 0, 0, std::nullopt};
+        event.time_left = ms(200 + static_cast<std::int64_t>(pick(9000)));
+        told_[event.message] = {event, now_ + event.time_left, false, 0, 0, std::nullopt};
         if (event.key) lines_[*event.key].push_back(event.message);
         sender_.observe(event, now_);
     }
@@ -88,21 +89,22 @@
         event.message = one.message;
         event.endpoint = one.endpoint;
         event.attempt = one.attempt;
-        event.outcome = chance(0.5) ? Outcome::Served : static_cast<Outcome>(1 + pick(6));
+        event.outcome = chance(0.5) ? Outcome::Delivered : static_cast<Outcome>(1 + pick(6));
         event.rtt = now_ - one.sent;
-        if (event.outcome == Outcome::TurnedAway && chance(0.5))
-            event.wait = ms(static_cast<std::int64_t>(pick(900)));
+        if (event.outcome == Outcome::Rejected && chance(0.5))
+            event.retry_after = ms(static_cast<std::int64_t>(pick(900)));
         --told.out;
-        const bool never_ran = event.outcome == Outcome::TurnedAway || event.outcome == Outcome::NoConnection;
+        const bool never_ran = event.outcome == Outcome::Rejected || event.outcome == Outcome::ConnectFailed;
         if (!never_ran) told.doubt = std::min(told.doubt.value_or(one.sent), one.sent);
-        if (event.outcome == Outcome::Served) told.over = true;
+        if (event.outcome == Outcome::Delivered) told.over = true;
         event.terminal = told.over;
-        if (event.wait > Time(0))
-            waits_[route_of(one.endpoint)] = std::max(waits_[route_of(one.endpoint)], now_ + event.wait);
-        const bool doubt = event.outcome == Outcome::NoAnswer || event.outcome == Outcome::ConnectionLost ||
-                           event.outcome == Outcome::CalledOff;
+        if (event.retry_after > Time(0))
+            waits_[route_of(one.endpoint)] =
+                std::max(waits_[route_of(one.endpoint)], now_ + event.retry_after);
+        const bool doubt = event.outcome == Outcome::TimedOut || event.outcome == Outcome::ConnectionLost ||
+                           event.outcome == Outcome::Cancelled;
         if (told.event.key && doubt)
-            rests_[*told.event.key][one.message] = now_ + settings_.settle_after_doubt;
+            rests_[*told.event.key][one.message] = now_ + settings_.ambiguous_settle_time;
         sender_.observe(event, now_);
     }
 
@@ -117,9 +119,9 @@
         ASSERT_EQ(conditions_.at(send.endpoint), Condition::Ready) << "drain";
         ASSERT_LE(waits_[route_of(send.endpoint)], now_) << "wait";
         if (told.doubt) {
-            ASSERT_NE(kind.effect, Effect::Fragile);
-            if (kind.effect == Effect::Dedup) {
-                ASSERT_LE(now_, *told.doubt + kind.window);
+            ASSERT_NE(kind.delivery, DeliverySemantics::AtMostOnce);
+            if (kind.delivery == DeliverySemantics::Deduplicated) {
+                ASSERT_LE(now_, *told.doubt + kind.dedup_window);
             }
         }
         if (told.event.key) order(send.message, *told.event.key);
@@ -136,8 +138,8 @@
     }
     void act(const Refuse& refuse) {
         const Told& told = told_.at(refuse.message);
-        const Effect effect = settings_.classes[told.event.message_class].effect;
-        if (effect == Effect::Fragile) {
+        const DeliverySemantics effect = settings_.classes[told.event.message_class].delivery;
+        if (effect == DeliverySemantics::AtMostOnce) {
             ASSERT_FALSE(told.doubt || told.out > 0) << "refused in doubt";
         }
         end(refuse.message);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -19,25 +19,25 @@
 
 struct MessageCase {
     const char* name;
-    Effect effect;
+    DeliverySemantics effect;
     DedupScope scope = DedupScope::All;
     Time window{0};
     bool sequential = false;
     Time deadline = ms(20'000);
 };
 constexpr MessageCase kMessages[] = {
-    {"Retryable", Effect::Retryable},
-    {"Retryable2s", Effect::Retryable, DedupScope::All, Time(0), false, ms(2'000)},
-    {"DedupAll1s", Effect::Dedup, DedupScope::All, ms(1'000)},
-    {"DedupAll5s", Effect::Dedup, DedupScope::All, ms(5'000)},
-    {"DedupZone1s", Effect::Dedup, DedupScope::Zone, ms(1'000)},
-    {"DedupZone5s", Effect::Dedup, DedupScope::Zone, ms(5'000)},
-    {"DedupEndpoint1s", Effect::Dedup, DedupScope::Endpoint, ms(1'000)},
-    {"DedupEndpoint5s", Effect::Dedup, DedupScope::Endpoint, ms(5'000)},
-    {"Sequential", Effect::Retryable, DedupScope::All, Time(0), true},
-    {"Fragile", Effect::Fragile},
-    {"Fragile5s", Effect::Fragile, DedupScope::All, Time(0), false, ms(5'000)},
-    {"FragileSequential", Effect::Fragile, DedupScope::All, Time(0), true},
+    {"Retryable", DeliverySemantics::Retryable},
+    {"Retryable2s", DeliverySemantics::Retryable, DedupScope::All, Time(0), false, ms(2'000)},
+    {"DedupAll1s", DeliverySemantics::Deduplicated, DedupScope::All, ms(1'000)},
+    {"DedupAll5s", DeliverySemantics::Deduplicated, DedupScope::All, ms(5'000)},
+    {"DedupZone1s", DeliverySemantics::Deduplicated, DedupScope::Zone, ms(1'000)},
+    {"DedupZone5s", DeliverySemantics::Deduplicated, DedupScope::Zone, ms(5'000)},
+    {"DedupEndpoint1s", DeliverySemantics::Deduplicated, DedupScope::Endpoint, ms(1'000)},
+    {"DedupEndpoint5s", DeliverySemantics::Deduplicated, DedupScope::Endpoint, ms(5'000)},
+    {"Sequential", DeliverySemantics::Retryable, DedupScope::All, Time(0), true},
+    {"Fragile", DeliverySemantics::AtMostOnce},
+    {"Fragile5s", DeliverySemantics::AtMostOnce, DedupScope::All, Time(0), false, ms(5'000)},
+    {"FragileSequential", DeliverySemantics::AtMostOnce, DedupScope::All, Time(0), true},
 };
 
 const MessageCase& message_named(std::string_view name) {
@@ -68,10 +68,10 @@
     const char* name;
     void (*change)(FleetPlan&);
 };
-void senders(FleetPlan& plan, std::size_t count) { plan.settings.n_instances = count; }
+void senders(FleetPlan& plan, std::size_t count) { plan.settings.instance_count = count; }
 void one_sender(FleetPlan& plan) {
     senders(plan, 1);
-    plan.settings.slots = 24;  // as many as the plain fleet has
+    plan.settings.max_calls = 24;  // as many as the plain fleet has
 }
 void large_fleet(FleetPlan& plan) {
     senders(plan, 350);
@@ -83,7 +83,7 @@
     plan.settings.zone = std::nullopt;
 }
 void one_slot(FleetPlan& plan) {
-    plan.settings.slots = 1;
+    plan.settings.max_calls = 1;
     plan.endpoints[0].capacity_per_s = 30.0;  // what three slots carry at 100 ms a call
 }
 void two_endpoints(FleetPlan& plan, double part_of_first) {
@@ -97,7 +97,7 @@
     two_endpoints(plan, 0.7);
     plan.endpoints[1].stays_up = true;
 }
-void routes_apart(FleetPlan& plan) { plan.settings.kinds[0].routes_apart = true; }
+void routes_apart(FleetPlan& plan) { plan.settings.kinds[0].limits_per_endpoint = true; }
 
 const DeploymentCase kDeployments[] = {
     {"Plain", [](FleetPlan&) {}},
@@ -105,7 +105,7 @@
     {"OneTenant", [](FleetPlan& plan) { plan.settings.tenants = {{100.0}}; }},
     {"OneSlot", one_slot},
     {"OneAttempt", [](FleetPlan& plan) { plan.settings.max_attempts = 1; }},
-    {"NoCancel", [](FleetPlan& plan) { plan.settings.cancel = false; }},
+    {"NoCancel", [](FleetPlan& plan) { plan.settings.can_cancel = false; }},
     {"ListedRate", [](FleetPlan& plan) { plan.settings.listed_rates = true; }},
     {"Limit", limit},
     {"LimitTold", [](FleetPlan& plan) { limit(plan), plan.endpoints[0].tells_wait = true; }},
@@ -124,7 +124,7 @@
             one_slot(plan);
             no_zone(plan);
             plan.settings.max_attempts = 1;
-            plan.settings.cancel = false;
+            plan.settings.can_cancel = false;
         }},
 };
 
@@ -139,15 +139,15 @@
     Settings settings = make_settings();
     ClassSettings kind = make_class(message.effect);
     kind.dedup_scope = message.scope;
-    kind.window = message.window;
+    kind.dedup_window = message.window;
     kind.sequential = message.sequential;
     kind.deadline = message.deadline;
-    kind.aim = std::min(kind.aim, message.deadline / 2);
+    kind.target_latency = std::min(kind.target_latency, message.deadline / 2);
     settings.classes = {kind};
     settings.kinds.resize(1);
     settings.tenants.clear();
-    settings.n_instances = 3;
-    settings.most_held = 1'000;
+    settings.instance_count = 3;
+    settings.max_held_messages = 1'000;
     return settings;
 }
 
@@ -169,13 +169,13 @@
 }
 
 /// The longest time from the return to the first delivery of a call sent after it. All senders together try
-/// at least three times in a `fall`, each at most one and a half times as far apart as the even part: three
-/// `fall` leave room for the few messages that a large fleet holds. A call that hangs may hold the only slot,
-/// or the turn of its key, until its time-out, at the deadline at the latest. A told wait ends with the
-/// outage.
+/// at least three times in a `overload_window`, each at most one and a half times as far apart as the even
+/// part: three `overload_window` leave room for the few messages that a large fleet holds. A call that hangs
+/// may hold the only slot, or the turn of its key, until its time-out, at the deadline at the latest. A told
+/// wait ends with the outage.
 Time longest_until_delivery(const Cell& cell, const FleetPlan& plan) {
     const Time hung = cell.outage->kind == OutageKind::Hangs ? plan.settings.classes[0].deadline : Time(0);
-    return 3 * plan.settings.fall + hung + 2 * plan.endpoints[0].service_time;
+    return 3 * plan.settings.overload_window + hung + 2 * plan.endpoints[0].service_time;
 }
 
 std::string name_of(const Cell& cell) {
@@ -193,7 +193,7 @@
 protected:
     RuleCheckerTest() {
         event_.message = 1;
-        event_.left = settings_.classes[0].deadline;
+        event_.time_left = settings_.classes[0].deadline;
         checker_.arrived(0, event_, kRunStart);
     }
     void send(MessageId message, Time now) { checker_.sent(0, {message, 0, ms(1'000), std::nullopt}, now); }
@@ -201,7 +201,7 @@
         OutcomeEvent event;
         event.message = message;
         event.outcome = outcome;
-        event.wait = wait;
+        event.retry_after = wait;
         checker_.ended(0, event, sent, now);
     }
     void arrive(MessageId message) {
@@ -216,34 +216,34 @@
 };
 
 TEST_F(RuleCheckerTest, AcceptsARepeatOfWhatNeverRan) {
-    ASSERT_EQ(settings_.classes[0].effect, Effect::Fragile);
+    ASSERT_EQ(settings_.classes[0].delivery, DeliverySemantics::AtMostOnce);
     send(1, kRunStart);
-    end(1, Outcome::TurnedAway, kRunStart, kRunStart + ms(1));
+    end(1, Outcome::Rejected, kRunStart, kRunStart + ms(1));
     send(1, kRunStart + ms(2));
-    end(1, Outcome::Served, kRunStart + ms(2), kRunStart + ms(3));
+    end(1, Outcome::Delivered, kRunStart + ms(2), kRunStart + ms(3));
     checker_.overdue(1);
     EXPECT_EQ(checker_.breach(), "");
 }
 
 TEST_F(RuleCheckerTest, FindsARepeatOfWhatMayHaveRun) {
     send(1, kRunStart);
-    end(1, Outcome::NoAnswer, kRunStart, kRunStart + ms(1));
+    end(1, Outcome::TimedOut, kRunStart, kRunStart + ms(1));
     send(1, kRunStart + ms(2));
     EXPECT_NE(checker_.breach(), "");
 }
 
 TEST_F(RuleCheckerTest, FindsMoreCallsThanSlots) {
-    for (MessageId message = 2; message <= settings_.slots + 1; ++message) arrive(message);
-    for (MessageId message = 1; message <= settings_.slots; ++message) send(message, kRunStart);
+    for (MessageId message = 2; message <= settings_.max_calls + 1; ++message) arrive(message);
+    for (MessageId message = 1; message <= settings_.max_calls; ++message) send(message, kRunStart);
     EXPECT_EQ(checker_.breach(), "");
-    send(settings_.slots + 1, kRunStart);
+    send(settings_.max_calls + 1, kRunStart);
     EXPECT_NE(checker_.breach(), "");
 }
 
 TEST_F(RuleCheckerTest, FindsACallInsideAToldWait) {
     arrive(2);
     send(1, kRunStart);
-    end(1, Outcome::TurnedAway, kRunStart, kRunStart + ms(1), ms(500));
+    end(1, Outcome::Rejected, kRunStart, kRunStart + ms(1), ms(500));
     send(2, kRunStart + ms(500));
     EXPECT_NE(checker_.breach(), "");
 }
@@ -266,9 +266,10 @@
     ModelledEndpoint endpoint(plan, settings);
     const Time back = kRunStart + ms(1'000);
     EXPECT_EQ(endpoint.present_capacity(back - ms(1)), 0.0);
-    EXPECT_DOUBLE_EQ(endpoint.warmth(back), settings.cold_from);
-    EXPECT_DOUBLE_EQ(endpoint.warmth(back + settings.warm_within / 2), (1.0 + settings.cold_from) / 2.0);
-    EXPECT_DOUBLE_EQ(endpoint.warmth(back + settings.warm_within), 1.0);
+    EXPECT_DOUBLE_EQ(endpoint.warmth(back), settings.cold_capacity_share);
+    EXPECT_DOUBLE_EQ(
+        endpoint.warmth(back + settings.warm_up_time / 2), (1.0 + settings.cold_capacity_share) / 2.0);
+    EXPECT_DOUBLE_EQ(endpoint.warmth(back + settings.warm_up_time), 1.0);
     // 2 x 0.2 x 50 calls a second in 2 s: N = 40, and it stands N + 2 sqrt N + 2 = 54.6
     for (int call = 0; call < 54; ++call) EXPECT_FALSE(endpoint.falls_over(back));
     EXPECT_TRUE(endpoint.falls_over(back));
--- a/tests/logic_test.cpp
+++ b/tests/sender_test.cpp
@@ -13,15 +13,15 @@
 
 TEST(Ban, HoldsWhateverTheListSaysBeforeOrAfter) {
     Rig rig;
-    rig.sender.observe(BanEvent{0, true}, rig.now);  // named by hand before any list names it
+    rig.sender.observe(AdminDisableEvent{0, true}, rig.now);  // named by hand before any list names it
     rig.list(0, 1);
     rig.arrive(1, 1);
     EXPECT_TRUE(rig.pass(ms(500)).empty());
-    rig.list(0, 1, 0, 0.0, Condition::Gone);
+    rig.list(0, 1, 0, 0.0, Condition::Removed);
     rig.list(0, 1);
     EXPECT_TRUE(rig.pass(ms(500)).empty());
-    rig.sender.observe(BanEvent{0, true}, rig.now);
-    rig.sender.observe(BanEvent{0, false}, rig.now);  // one call ends it, however often it was made
+    rig.sender.observe(AdminDisableEvent{0, true}, rig.now);
+    rig.sender.observe(AdminDisableEvent{0, false}, rig.now);  // one call ends it, however often it was made
     EXPECT_EQ(rig.pass(ms(1000)).size(), 1u);
 }
 
@@ -30,15 +30,15 @@
     const auto sent_within = [](bool banned) {
         Rig rig;
         rig.list(0, 1);
-        if (banned) rig.sender.observe(BanEvent{0, true}, rig.now);
+        if (banned) rig.sender.observe(AdminDisableEvent{0, true}, rig.now);
         for (MessageId id = 1; id <= 30; ++id) rig.arrive(id, 1);
-        if (banned) rig.sender.observe(BanEvent{0, false}, rig.now);
+        if (banned) rig.sender.observe(AdminDisableEvent{0, false}, rig.now);
         std::size_t count = 0;
         for (int i = 0; i < 50; ++i) {
             const auto sends = rig.sends();
             count += sends.size();
             rig.now += ms(20);
-            for (const Send& send : sends) rig.outcome(send, Outcome::Served, 0, Time(0), ms(20));
+            for (const Send& send : sends) rig.outcome(send, Outcome::Delivered, 0, Time(0), ms(20));
         }
         return count;
     };
@@ -54,7 +54,8 @@
     after.now = before.now;
     after.list(0, 1);
     for (const MessageId id : held) after.arrive(id, 1);
-    for (const Learned& one : before.sender.learned(before.now)) after.sender.observe(one, after.now);
+    for (const LearnedState& one : before.sender.learned_state(before.now))
+        after.sender.observe(one, after.now);
     return after;
 }
 
@@ -64,7 +65,7 @@
     before.arrive(1, 1);
     const auto sends = before.sends();
     ASSERT_EQ(sends.size(), 1u);
-    before.outcome(sends[0], Outcome::TurnedAway, 0, ms(1500));
+    before.outcome(sends[0], Outcome::Rejected, 0, ms(1500));
     before.decide();
     Rig after = taken_over(before, make_settings(), {1});
     EXPECT_TRUE(after.pass(ms(1490)).empty());
@@ -92,14 +93,14 @@
 // The call is on another process's connection: its slot counts here, and its message is not sent beside it.
 TEST(Successor, CountsACallThatIsOutElsewhere) {
     Settings settings = make_settings();
-    settings.slots = 1;
+    settings.max_calls = 1;
     Rig rig(settings);
     rig.list(0, 1);
     MessageEvent out{1, 1, kRetryable, std::nullopt, std::nullopt, ms(20000)};
     out.attempts = 2;
     rig.sender.observe(out, rig.now);
     rig.arrive(2, 1);
-    rig.sender.observe(CallHandedOn{0, ms(50), {{1, 1}}}, rig.now);
+    rig.sender.observe(InheritedCall{0, ms(50), {{1, 1}}}, rig.now);
     EXPECT_TRUE(rig.pass(ms(300)).empty());
     rig.outcome(Send{1, 0}, Outcome::ServerError, 1);
     const auto next = rig.pass(ms(2000));
@@ -110,13 +111,13 @@
 // Its message has ended, and its endpoint is listed no more: the slot counts all the same until the outcome.
 TEST(Successor, CountsACallOfWhichNothingElseIsKnown) {
     Settings settings = make_settings();
-    settings.slots = 1;
+    settings.max_calls = 1;
     Rig rig(settings);
     rig.list(0, 1);
     rig.arrive(2, 1);
-    rig.sender.observe(CallHandedOn{9, ms(50), {{1, 0}}}, rig.now);
+    rig.sender.observe(InheritedCall{9, ms(50), {{1, 0}}}, rig.now);
     EXPECT_TRUE(rig.pass(ms(300)).empty());
-    rig.outcome(Send{1, 9}, Outcome::CalledOff, 0);
+    rig.outcome(Send{1, 9}, Outcome::Cancelled, 0);
     EXPECT_EQ(rig.sent(), Ids{2});
     rig.pass(ms(3000), ms(100));
 }
@@ -125,18 +126,18 @@
 
 TEST(NewSettings, HoldForNewMessagesAndNeverHalf) {
     Settings settings = make_settings();
-    settings.slots = 1;
+    settings.max_calls = 1;
     Rig rig(settings);
     rig.list(0, 1);
     rig.arrive(1, 1);  // may be repeated
     const auto first = rig.sends();
     ASSERT_EQ(first.size(), 1u);
-    settings.classes = {make_class(Effect::Fragile)};
+    settings.classes = {make_class(DeliverySemantics::AtMostOnce)};
     Settings senseless = settings;
     senseless.max_attempts = 0;
     EXPECT_THROW(rig.sender.observe(SettingsEvent{senseless}, rig.now), std::invalid_argument);
     rig.sender.observe(SettingsEvent{settings}, rig.now);
-    rig.outcome(first[0], Outcome::NoAnswer);
+    rig.outcome(first[0], Outcome::TimedOut);
     EXPECT_EQ(rig.pass(ms(2000)).size(), 1u);                       // message 1 again
     EXPECT_THROW(rig.arrive(2, 1, kDedup), std::invalid_argument);  // there is one class now
     settings.kinds.clear();
@@ -152,9 +153,9 @@
     rig.arrive(1, 1);
     const auto first = rig.sends();
     ASSERT_EQ(first.size(), 1u);
-    rig.outcome(first[0], Outcome::TurnedAway, 0, ms(3000));
+    rig.outcome(first[0], Outcome::Rejected, 0, ms(3000));
     EXPECT_TRUE(rig.pass(ms(100)).empty());
-    rig.list(0, 1, 1, 0.0, Condition::Gone);
+    rig.list(0, 1, 1, 0.0, Condition::Removed);
     EXPECT_TRUE(rig.pass(ms(1500)).empty());
     rig.list(0, 1, 1);
     EXPECT_TRUE(rig.pass(ms(1390)).empty());
@@ -173,7 +174,7 @@
                 rig.outcome(send, Outcome::ServerError, tries[send.message]++);
             rig.now += ms(200);
         }
-        rig.list(0, 1, 1, 0.0, Condition::Gone);
+        rig.list(0, 1, 1, 0.0, Condition::Removed);
         rig.pass(ms(5000));
         rig.list(0, 1, 1);
         for (MessageId id = 1; id <= 8; ++id) rig.arrive(id, 1);
@@ -194,19 +195,19 @@
         rig.arrive(2, 1);
         const auto sends = rig.sends();
         EXPECT_EQ(sends.size(), 2u);
-        EXPECT_TRUE(rig.sender.may_begin(2, 0, rig.now));
+        EXPECT_TRUE(rig.sender.may_start(2, 0, rig.now));
         news(rig, sends[0]);
-        return rig.sender.may_begin(2, 0, rig.now);
-    };
-    const auto wait = [](Rig& rig, const Send& first) {
-        rig.outcome(first, Outcome::TurnedAway, 0, ms(500));
+        return rig.sender.may_start(2, 0, rig.now);
     };
+    const auto wait = [](Rig& rig, const Send& first) { rig.outcome(first, Outcome::Rejected, 0, ms(500)); };
     EXPECT_FALSE(begins_after(wait));
     EXPECT_FALSE(begins_after([&](Rig& rig, const Send& first) { wait(rig, first), rig.now += ms(499); }));
     EXPECT_TRUE(begins_after([&](Rig& rig, const Send& first) { wait(rig, first), rig.now += ms(500); }));
     EXPECT_FALSE(begins_after([](Rig& rig, const Send&) { rig.list(0, 1, 0, 0.0, Condition::Draining); }));
-    EXPECT_FALSE(begins_after([](Rig& rig, const Send&) { rig.list(0, 1, 0, 0.0, Condition::Gone); }));
-    EXPECT_FALSE(begins_after([](Rig& rig, const Send&) { rig.sender.observe(BanEvent{0, true}, rig.now); }));
+    EXPECT_FALSE(begins_after([](Rig& rig, const Send&) { rig.list(0, 1, 0, 0.0, Condition::Removed); }));
+    EXPECT_FALSE(begins_after([](Rig& rig, const Send&) {
+        rig.sender.observe(AdminDisableEvent{0, true}, rig.now);
+    }));
     EXPECT_FALSE(begins_after([](Rig& rig, const Send&) { rig.sender.observe(AbandonedEvent{2}, rig.now); }));
     EXPECT_FALSE(begins_after([](Rig& rig, const Send&) { rig.now += ms(20000); }));  // its time is up
     EXPECT_TRUE(begins_after([](Rig& rig, const Send& first) { rig.outcome(first, Outcome::ServerError); }));
@@ -219,12 +220,12 @@
     for (MessageId id = 1; id <= 5; ++id) rig.arrive(id, 1);
     const auto sends = rig.sends();
     ASSERT_EQ(sends.size(), 5u);
-    EXPECT_TRUE(rig.sender.may_begin(1, 0, rig.now));
+    EXPECT_TRUE(rig.sender.may_start(1, 0, rig.now));
     rig.list(0, 2);
-    EXPECT_FALSE(rig.sender.may_begin(1, 0, rig.now));
+    EXPECT_FALSE(rig.sender.may_start(1, 0, rig.now));
     rig.arrive(6, 2);
     EXPECT_TRUE(rig.sends().empty());  // the endpoint has its five still
-    for (const Send& send : sends) rig.outcome(send, Outcome::Served);
+    for (const Send& send : sends) rig.outcome(send, Outcome::Delivered);
     rig.list(0, 1);
     for (MessageId id = 11; id <= 16; ++id) rig.arrive(id, 1);
     EXPECT_EQ(rig.sends().size(), 5u);  // as many as before
@@ -244,7 +245,7 @@
     ASSERT_EQ(again.size(), 1u);
     EXPECT_EQ(again[0].second.message, 1u);
     EXPECT_GT(again[0].first - rig.now + ms(1000), Time(0));  // never at once: no spinning
-    rig.outcome(again[0].second, Outcome::TurnedAway);
+    rig.outcome(again[0].second, Outcome::Rejected);
     EXPECT_EQ(all<Refuse>(rig.decide()).size(), 1u);
 }
 
@@ -255,7 +256,7 @@
 // (P2 0), 1 (0.4), 2 (2), 1 (1.8), 1 (2.8), 2 (4), 1 (3.9), 1 (4.9); the L tags are due each time.
 TEST(Tags, ShareFollowsListedRates) {
     Settings settings = make_settings();
-    settings.slots = 1;
+    settings.max_calls = 1;
     settings.listed_rates = true;
     Rig rig(settings);
     rig.list(0, 1, 0, 1.0);
@@ -268,7 +269,7 @@
         ASSERT_EQ(out.size(), 1u);
         order.push_back(out[0].message < 10 ? 1 : 2);
         rig.now += ms(700);
-        rig.outcome(out[0], Outcome::Served, 0, Time(0), ms(700));
+        rig.outcome(out[0], Outcome::Delivered, 0, Time(0), ms(700));
     }
     EXPECT_EQ(order, (Ids{1, 2, 1, 2, 1, 1, 2, 1, 1}));
 }
@@ -297,10 +298,10 @@
 // at 1.2.
 TEST(Tags, ReservationPhaseGoesFirst) {
     Settings settings = make_settings();
-    settings.slots = 1;
-    settings.floor_per_s = 1.0;
+    settings.max_calls = 1;
+    settings.reservation_per_s = 1.0;
     settings.listed_rates = true;
-    settings.n_instances = 1;
+    settings.instance_count = 1;
     Rig rig(settings);
     rig.list(0, 1, 0, 1000.0);
     rig.list(1, 2, 0, 2.0);
@@ -315,7 +316,7 @@
         }
         order.push_back(out[0].message);
         rig.now += ms(300);
-        rig.outcome(out[0], Outcome::Served);
+        rig.outcome(out[0], Outcome::Delivered);
     }
     ASSERT_GE(order.size(), 5u);
     order.resize(5);
@@ -332,7 +333,7 @@
 // A newcomer after long idleness starts level and does not burst ahead of the one that was busy.
 TEST(Tags, ReactivationStartsLevel) {
     Settings settings = make_settings();
-    settings.slots = 2;
+    settings.max_calls = 2;
     Rig rig(settings);
     rig.list(0, 1);
     rig.list(1, 2);
@@ -340,7 +341,7 @@
     auto out = rig.sends();
     for (int i = 0; i < 5; ++i) {
         rig.now += ms(1000);
-        rig.outcome(out[0], Outcome::Served);
+        rig.outcome(out[0], Outcome::Delivered);
         out = rig.sends();
         ASSERT_EQ(out.size(), 1u);
     }
@@ -353,7 +354,7 @@
     std::vector<Send> busy{out[0], second[0]};
     for (int i = 0; i < 8; ++i) {
         rig.now += ms(1000);
-        rig.outcome(busy[0], Outcome::Served);
+        rig.outcome(busy[0], Outcome::Delivered);
         busy.erase(busy.begin());
         const auto next = rig.sends();
         ASSERT_EQ(next.size(), 1u);
@@ -374,10 +375,10 @@
     const auto first = rig.sends();
     EXPECT_EQ(first.size(), 1u);
     rig.now += ms(5000);
-    rig.outcome(first[0], Outcome::Served);
+    rig.outcome(first[0], Outcome::Delivered);
     const auto burst = rig.sends();
     ASSERT_EQ(burst.size(), 2u);
-    for (const Send& send : burst) rig.outcome(send, Outcome::Served);
+    for (const Send& send : burst) rig.outcome(send, Outcome::Delivered);
     EXPECT_TRUE(rig.pass(ms(980)).empty());
     EXPECT_EQ(rig.pass(ms(40)).size(), 1u);
 }
@@ -386,10 +387,10 @@
 // it holds takes long, and the message goes first that loses most by waiting.
 TEST(Tags, ABacklogIsJudgedByWhatIsServedOverSeconds) {
     Settings settings = make_settings();
-    settings.slots = 1;
-    settings.n_instances = 100;
-    settings.classes[kRetryable].late_worth = 0.5;
-    settings.loses_worth = LateWorth::Halving;
+    settings.max_calls = 1;
+    settings.instance_count = 100;
+    settings.classes[kRetryable].late_utility = 0.5;
+    settings.late_decay = LateDecay::Halving;
     Rig rig(settings);
     rig.list(0, 1);
     for (MessageId id = 1; id <= 2; ++id) {
@@ -397,7 +398,7 @@
         const auto out = rig.sends();
         ASSERT_EQ(out.size(), 1u);
         rig.now += ms(20);
-        rig.outcome(out[0], Outcome::Served, 0, Time(0), ms(20));
+        rig.outcome(out[0], Outcome::Delivered, 0, Time(0), ms(20));
     }
     rig.list(1, 2);
     rig.arrive(3, 2);
@@ -406,14 +407,14 @@
     for (MessageId id = 4; id <= 9; ++id) rig.arrive(id, 1);
     rig.now += ms(4500);
     rig.arrive(10, 1);
-    rig.outcome(busy[0], Outcome::Served, 0, Time(0), ms(4500));
+    rig.outcome(busy[0], Outcome::Delivered, 0, Time(0), ms(4500));
     EXPECT_EQ(rig.sent(), Ids{10});
 }
 
 // Weak spot: repeats of an erroring destination must not take the turns of the others.
 TEST(Tags, RepeatsLeaveTheTurnsToOthers) {
     Settings settings = make_settings();
-    settings.slots = 1;
+    settings.max_calls = 1;
     Rig rig(settings);
     rig.list(0, 1);
     rig.list(1, 2);
@@ -425,8 +426,8 @@
         for (const Send& send : rig.sends()) {
             const bool bad = send.message < 10;
             (bad ? failing : healthy)++;
-            rig.outcome(
-                send, bad ? Outcome::ServerError : Outcome::Served, tries[send.message]++, Time(0), ms(10));
+            rig.outcome(send, bad ? Outcome::ServerError : Outcome::Delivered, tries[send.message]++, Time(0),
+                ms(10));
         }
     }
     EXPECT_EQ(healthy, 9);
@@ -460,7 +461,7 @@
 TEST(Choice, TheCheaperRouteGoesBeforeTheOwnZone) {
     for (const bool fees : {true, false}) {
         Settings settings = make_settings();
-        if (fees) settings.zone_fees = {0.06, 0.0};
+        if (fees) settings.zone_costs = {0.06, 0.0};
         Rig rig(settings);
         rig.list(0, 1, 1, 0.0, Condition::Ready, 0);
         rig.list(1, 1, 1, 0.0, Condition::Ready, 1);
@@ -483,12 +484,14 @@
         for (DestinationId destination = 0; destination < 4; ++destination) rig.arrive(next++, destination);
         for (const Send& send : rig.sends())
             for (std::uint32_t attempt = 0; attempt < 4; ++attempt)
-                rig.outcome(send, send.endpoint % 2 == 0 ? Outcome::ServerError : Outcome::Served, attempt);
+                rig.outcome(
+                    send, send.endpoint % 2 == 0 ? Outcome::ServerError : Outcome::Delivered, attempt);
     }
     for (int i = 0; i < 40 && rig.now < ms(1'020'000); ++i)  // until all is served beside the dead routes
         for (const auto& [at, send] : rig.pass(ms(200)))
             for (std::uint32_t attempt = 0; attempt < 4; ++attempt)
-                rig.outcome(send, send.endpoint % 2 == 0 ? Outcome::ServerError : Outcome::Served, attempt);
+                rig.outcome(
+                    send, send.endpoint % 2 == 0 ? Outcome::ServerError : Outcome::Delivered, attempt);
     for (DestinationId destination = 0; destination < 4; ++destination)
         for (int i = 0; i < 2; ++i) rig.arrive(next++, destination);
     std::size_t well = 0;
@@ -536,7 +539,7 @@
     rig.arrive(1, 1, kFragile);
     const auto out = rig.sends();
     rig.now += ms(100);
-    rig.outcome(out[0], Outcome::TurnedAway);
+    rig.outcome(out[0], Outcome::Rejected);
     EXPECT_EQ(rig.pass(ms(500)).size(), 1u);
 }
 
@@ -568,7 +571,7 @@
     rig.arrive(1, 1, kDedup);
     const auto out = rig.sends();
     rig.list(1, 1, 0, 0.0, Condition::Ready, 1);
-    rig.list(0, 1, 0, 0.0, Condition::Gone);
+    rig.list(0, 1, 0, 0.0, Condition::Removed);
     rig.now += ms(100);
     rig.outcome(out[0], Outcome::ServerError);
     EXPECT_TRUE(rig.pass(ms(3000)).empty());
@@ -590,7 +593,7 @@
 }
 
 TEST(Drains, NothingToDrainingOrGone) {
-    for (const Condition condition : {Condition::Draining, Condition::Gone}) {
+    for (const Condition condition : {Condition::Draining, Condition::Removed}) {
         Rig rig;
         rig.list(0, 1);
         rig.list(0, 1, 0, 0.0, condition);
@@ -604,7 +607,7 @@
 TEST(Drains, AWholeListReplacesTheOldOne) {
     Rig rig;
     rig.list(0, 1);
-    rig.sender.observe(ListEvent{ListKind::Full, {{1, 2, 0, 0, 0.0, Condition::Ready}}}, rig.now);
+    rig.sender.observe(ListEvent{ListUpdateKind::Full, {{1, 2, 0, 0, 0.0, Condition::Ready}}}, rig.now);
     rig.arrive(1, 1);
     rig.arrive(2, 2);
     EXPECT_EQ(rig.sent(), Ids{2});
@@ -616,7 +619,7 @@
     rig.list(1, 1);
     rig.arrive(1, 1);
     const auto out = rig.sends();
-    rig.outcome(out[0], Outcome::TurnedAway, 0, ms(700));
+    rig.outcome(out[0], Outcome::Rejected, 0, ms(700));
     rig.arrive(2, 1);
     EXPECT_TRUE(rig.pass(ms(690)).empty());
     EXPECT_EQ(rig.pass(ms(300)).size(), 2u);
@@ -628,7 +631,7 @@
     rig.list(1, 1, 1);
     rig.arrive(1, 1);
     const auto out = rig.sends();
-    rig.outcome(out[0], Outcome::TurnedAway, 0, ms(700));
+    rig.outcome(out[0], Outcome::Rejected, 0, ms(700));
     rig.arrive(2, 1);
     const auto next = rig.sends();
     ASSERT_EQ(next.size(), 1u);
@@ -642,9 +645,9 @@
     for (MessageId id = 1; id <= 3; ++id) rig.arrive(id, 1);
     const auto out = rig.sends();
     ASSERT_EQ(out.size(), 3u);
-    rig.outcome(out[0], Outcome::TurnedAway, 0, ms(300));
-    rig.outcome(out[1], Outcome::TurnedAway, 0, ms(600));
-    rig.outcome(out[2], Outcome::TurnedAway, 0, ms(400));
+    rig.outcome(out[0], Outcome::Rejected, 0, ms(300));
+    rig.outcome(out[1], Outcome::Rejected, 0, ms(600));
+    rig.outcome(out[2], Outcome::Rejected, 0, ms(400));
     EXPECT_TRUE(rig.pass(ms(590)).empty());
     EXPECT_FALSE(rig.pass(ms(200)).empty());
 }
@@ -653,8 +656,8 @@
 // one that comes is refused, not one that was taken on.
 TEST(Overload, WhatARestartFoundIsKeptBeforeWhatComes) {
     Settings settings = make_settings();
-    settings.n_instances = 300;
-    settings.most_held = 10;
+    settings.instance_count = 300;
+    settings.max_held_messages = 10;
     Rig rig(settings);
     for (MessageId id = 1; id <= 9; ++id) rig.arrive(id, static_cast<DestinationId>(id % 3));
     EXPECT_TRUE(rig.decide().size() <= 1u);  // nothing is listed: all of them wait
@@ -674,7 +677,7 @@
     ASSERT_EQ(out.size(), 2u);
     EXPECT_EQ(out[0].message, 1u);
     EXPECT_EQ(out[1].message, 3u);
-    rig.outcome(out[0], Outcome::Served);
+    rig.outcome(out[0], Outcome::Delivered);
     EXPECT_EQ(rig.sent(), Ids{2});
 }
 
@@ -694,7 +697,7 @@
     Rig rig;
     MessageEvent first{1, 1, kSequential, std::nullopt, 42, ms(20000)};
     first.attempts = 1;
-    first.doubt = MessageEvent::Doubt{ms(600), std::nullopt};
+    first.ambiguous_attempt = MessageEvent::AmbiguousAttempt{ms(600), std::nullopt};
     rig.list(1, 1);
     rig.sender.observe(first, rig.now);
     rig.arrive(2, 1, kSequential, 42);
@@ -713,7 +716,7 @@
     ASSERT_EQ(out.size(), 1u);
     rig.now += ms(1000);
     EXPECT_TRUE(rig.sends().empty());  // the first is given up, its attempt has no outcome yet
-    rig.outcome(out[0], Outcome::NoAnswer);
+    rig.outcome(out[0], Outcome::TimedOut);
     EXPECT_TRUE(rig.pass(ms(290)).empty());
     EXPECT_EQ(rig.pass(ms(3000)).size(), 1u);
 }
@@ -722,7 +725,7 @@
 TEST(FailBack, SendsStayWithinTheBudget) {
     Settings settings = make_settings();
     settings.listed_rates = true;
-    settings.n_instances = 2;
+    settings.instance_count = 2;
     Rig rig(settings);
     rig.list(0, 1, 0, 20.0);
     MessageId next = 1;
@@ -734,15 +737,15 @@
         rig.now += ms(10);
         for (const Send& send : rig.sends()) {
             if (rig.now >= back) sent.push_back(rig.now);
-            rig.outcome(send, rig.now < back ? Outcome::ConnectionLost : Outcome::Served,
+            rig.outcome(send, rig.now < back ? Outcome::ConnectionLost : Outcome::Delivered,
                 tries[send.message]++, Time(0), ms(10));
             rig.arrive(next++, 1);
         }
     }
     ASSERT_GT(sent.size(), 5u);
     for (std::size_t i = 0; i < sent.size(); ++i) {
-        const auto in_window = std::count_if(
-            sent.begin(), sent.end(), [&](Time at) { return at >= sent[i] && at < sent[i] + settings.fall; });
+        const auto in_window = std::count_if(sent.begin(), sent.end(),
+            [&](Time at) { return at >= sent[i] && at < sent[i] + settings.overload_window; });
         const double warm =
             std::min(1.0, 0.2 + 0.8 * static_cast<double>((sent[i] - back + ms(2000)).count()) / 1e7);
         EXPECT_LE(static_cast<double>(in_window), 2.0 * warm * 20.0 * 2.0 / 2.0 + 1.0);
@@ -757,7 +760,7 @@
     rig.arrive(1, 1);
     auto out = rig.sends();
     rig.now += ms(100);
-    rig.outcome(out[0], Outcome::Served);
+    rig.outcome(out[0], Outcome::Delivered);
     rig.arrive(2, 1);
     EXPECT_EQ(rig.sends().size(), 1u);
     rig.pass(ms(800));  // eight usual times without an answer
@@ -768,14 +771,14 @@
 // Incident i02431b: a destination that is down must not fill the room of the others.
 TEST(Overload, ShedsForTheDestinationThatIsDown) {
     Settings settings = make_settings();
-    settings.most_held = 20;
+    settings.max_held_messages = 20;
     Rig rig(settings);
     rig.list(0, 1);
     rig.list(1, 2);
     MessageId next = 1;
     for (int i = 0; i < 3; ++i) {
         rig.arrive(next++, 1);
-        for (const Send& send : rig.sends()) rig.outcome(send, Outcome::NoConnection);
+        for (const Send& send : rig.sends()) rig.outcome(send, Outcome::ConnectFailed);
         rig.now += ms(100);
         rig.decide();
     }
@@ -798,15 +801,15 @@
     rig.arrive(1, 1, kDedup);
     rig.arrive(2, 1, kRetryable);
     for (const Send& send : rig.sends()) {
-        EXPECT_FALSE(send.begin_within) << send.message;
+        EXPECT_FALSE(send.start_within) << send.message;
         rig.outcome(send, Outcome::ServerError);
     }
     const Time first = rig.now;
     const auto again = rig.pass(ms(3000));
     ASSERT_EQ(again.size(), 2u);
     for (const auto& [at, send] : again) {
-        EXPECT_EQ(send.begin_within.has_value(), send.message == 1u);
-        EXPECT_EQ(at + send.begin_within.value_or(first + ms(4900) - at), first + ms(4900));
+        EXPECT_EQ(send.start_within.has_value(), send.message == 1u);
+        EXPECT_EQ(at + send.start_within.value_or(first + ms(4900) - at), first + ms(4900));
     }
 }
 
@@ -817,7 +820,7 @@
     rig.arrive(1, 1);
     const auto out = rig.sends();
     ASSERT_EQ(out.size(), 1u);
-    EXPECT_EQ(out[0].time_out, ms(20000));
+    EXPECT_EQ(out[0].timeout, ms(20000));
     for (int i = 0; i < 100; ++i, rig.now += ms(100)) EXPECT_TRUE(all<CancelAttempt>(rig.decide()).empty());
 }
 
@@ -826,9 +829,9 @@
 TEST(Overload, WorthBeforeOrderOnlyWhileTheBacklogOutlastsAnAim) {
     for (const bool backlog : {false, true}) {
         Settings settings = make_settings();
-        settings.slots = 2;
-        settings.loses_worth = LateWorth::Halving;
-        settings.classes[kDedup].late_worth = 1.0;  // keeps all its worth
+        settings.max_calls = 2;
+        settings.late_decay = LateDecay::Halving;
+        settings.classes[kDedup].late_utility = 1.0;  // keeps all its worth
         Rig rig(settings);
         rig.list(0, 1);
         for (MessageId id = 1; id <= 3; ++id) {  // two a second
@@ -836,7 +839,7 @@
             const auto out = rig.sends();
             ASSERT_EQ(out.size(), 1u);
             rig.now += ms(500);
-            rig.outcome(out[0], Outcome::Served, 0, Time(0), ms(500));
+            rig.outcome(out[0], Outcome::Delivered, 0, Time(0), ms(500));
         }
         for (MessageId id = 4; id < (backlog ? 12u : 5u); ++id) rig.arrive(id, 1, kDedup);
         rig.arrive(50, 1, kRetryable);
@@ -881,7 +884,7 @@
 // Incident i94fd2c: refusals of calls sent together are one piece of news, not a shut destination.
 Settings one_fragile_class() {
     Settings settings = make_settings();
-    settings.classes = {make_class(Effect::Fragile)};
+    settings.classes = {make_class(DeliverySemantics::AtMostOnce)};
     return settings;
 }
 /// Fails every message that is sent to the endpoint for `span`; returns how many were.
@@ -901,7 +904,7 @@
     EXPECT_LE(lost, 2 + 10'000 / 250) << "at the pace of probes: at most one in 250 ms";
     int served = 0;
     for (const Time end = rig.now + ms(15'000); rig.now < end; rig.now += ms(10))
-        for (const Send& send : rig.sends()) rig.outcome(send, Outcome::Served), ++served;
+        for (const Send& send : rig.sends()) rig.outcome(send, Outcome::Delivered), ++served;
     EXPECT_EQ(served + lost, 40);
 }
 
@@ -913,11 +916,11 @@
     rig.arrive(1, 1, 0, std::nullopt, ms(60'000));
     std::uint32_t attempts = 0;
     for (const Time end = rig.now + ms(12'000); rig.now < end; rig.now += ms(10))
-        for (const Send& send : rig.sends()) rig.outcome(send, Outcome::NoConnection, attempts++);
+        for (const Send& send : rig.sends()) rig.outcome(send, Outcome::ConnectFailed, attempts++);
     EXPECT_GE(attempts, 6u);
     const auto again = rig.pass(ms(3000));
     ASSERT_FALSE(again.empty());
-    rig.outcome(again.front().second, Outcome::Served, attempts);
+    rig.outcome(again.front().second, Outcome::Delivered, attempts);
     EXPECT_TRUE(rig.sends().empty());
 }
 
@@ -934,7 +937,7 @@
         ASSERT_FALSE(sends.empty());
         for (const auto& [at, send] : sends)
             if (send.message == 1) rig.outcome(send, Outcome::ServerError, attempt);
-        if (attempt == 0 && sends.size() > 1) rig.outcome(sends.back().second, Outcome::NoConnection, 0);
+        if (attempt == 0 && sends.size() > 1) rig.outcome(sends.back().second, Outcome::ConnectFailed, 0);
     }
     std::uint32_t attempt = 2;
     for (const Time end = rig.now + ms(8000); rig.now < end; rig.now += ms(10))
@@ -950,7 +953,7 @@
     Rig rig(one_fragile_class());
     rig.list(1, 1);
     rig.arrive(1, 1, 0, std::nullopt, ms(200'000));
-    rig.outcome(rig.sends().at(0), Outcome::Served);  // 100 ms is usual
+    rig.outcome(rig.sends().at(0), Outcome::Delivered);  // 100 ms is usual
     rig.arrive(2, 1, 0, std::nullopt, ms(200'000));
     rig.sends();
     rig.pass(ms(2000));  // silent: found sick
@@ -967,7 +970,7 @@
     Rig rig(one_fragile_class());
     rig.list(1, 1);
     rig.arrive(1, 1, 0, std::nullopt, ms(200'000));
-    rig.outcome(rig.sends().at(0), Outcome::Served);
+    rig.outcome(rig.sends().at(0), Outcome::Delivered);
     for (MessageId id = 2; id <= 30; ++id) rig.arrive(id, 1, 0, std::nullopt, ms(200'000));
     const std::size_t hung = rig.sends().size();
     EXPECT_GE(hung, 4u) << "half of the slots: no room for another to an endpoint found sick";
@@ -976,7 +979,7 @@
         const auto actions = rig.decide();
         probes += all<Send>(actions).size();
         for (const CancelAttempt& cancel : all<CancelAttempt>(actions)) {
-            rig.outcome({cancel.message, 1, Time(0), {}}, Outcome::CalledOff);
+            rig.outcome({cancel.message, 1, Time(0), {}}, Outcome::Cancelled);
             ++dropped;
         }
     }
@@ -1007,7 +1010,7 @@
     const auto out = rig.sends();
     ASSERT_EQ(out.size(), 4u);
     rig.now += ms(50);
-    for (const Send& send : out) rig.outcome(send, Outcome::TurnedAway);
+    for (const Send& send : out) rig.outcome(send, Outcome::Rejected);
     EXPECT_GE(rig.pass(ms(1500)).size(), 2u);  // not sick: fragile messages go, at the pace refusals taught
 }
 
@@ -1017,7 +1020,7 @@
     Rig rig(settings);
     EXPECT_EQ(all<Watch>(rig.decide()).size(), 1u);
     EXPECT_TRUE(all<Watch>(rig.decide()).empty());
-    rig.sender.observe(ListEvent{ListKind::Failed, {}}, rig.now);
+    rig.sender.observe(ListEvent{ListUpdateKind::Failed, {}}, rig.now);
     EXPECT_TRUE(all<Watch>(rig.decide()).empty());
     rig.now += ms(600);
     EXPECT_EQ(all<Watch>(rig.decide()).size(), 1u);
@@ -1025,7 +1028,7 @@
 
 TEST(Batches, OneCallOneSlot) {
     Settings settings = make_settings();
-    settings.slots = 2;
+    settings.max_calls = 2;
     Rig rig(settings);
     rig.list(0, 1, 2);
     for (MessageId id = 1; id <= 6; ++id) rig.arrive(id, 1);
@@ -1034,7 +1037,7 @@
 
 TEST(Interface, BadSettingsThrowNamingTheSetting) {
     Settings settings = make_settings();
-    settings.slots = 0;
+    settings.max_calls = 0;
     try {
         Sender sender(settings, 1);
         FAIL();
@@ -1042,7 +1045,7 @@
         EXPECT_NE(std::string(error.what()).find("slots"), std::string::npos);
     }
     settings = make_settings();
-    settings.warm_within = ms(-1);
+    settings.warm_up_time = ms(-1);
     EXPECT_THROW(Sender(settings, 1), std::invalid_argument);
     Rig rig;
     EXPECT_THROW(rig.arrive(1, 1, 99), std::invalid_argument);
@@ -1052,7 +1055,7 @@
 TEST(Interface, ABadListEventIsRefusedWhole) {
     Rig rig;
     ListEvent event;
-    event.kind = ListKind::Full;
+    event.kind = ListUpdateKind::Full;
     event.entries = {{0, 1, 0, 0, 0.0, Condition::Ready}, {1, 1, 0, 99, 0.0, Condition::Ready}};
     EXPECT_THROW(rig.sender.observe(event, rig.now), std::invalid_argument);
     event.entries = {{0, 1, 0, 0, 0.0, Condition::Ready}, {1, 1, 9, 0, 0.0, Condition::Ready}};
@@ -1064,7 +1067,7 @@
 TEST(Interface, UnknownMessagesArePassedOver) {
     Rig rig;
     rig.sender.observe(AbandonedEvent{77}, rig.now);
-    rig.outcome(Send{77, 0, Time(0)}, Outcome::Served);
+    rig.outcome(Send{77, 0, Time(0)}, Outcome::Delivered);
     EXPECT_TRUE(all<Send>(rig.decide()).empty());
 }
 
@@ -1081,11 +1084,12 @@
         std::vector<EndpointId> found;
         for (const Time end = rig.now + span; rig.now < end;) {
             rig.now += ms(100);
-            for (const Forget& forget : all<Forget>(rig.decide())) found.push_back(forget.endpoint);
+            for (const ReleaseEndpoint& forget : all<ReleaseEndpoint>(rig.decide()))
+                found.push_back(forget.endpoint);
         }
         return found;
     };
-    rig.list(0, 1, 0, 0.0, Condition::Gone);
+    rig.list(0, 1, 0, 0.0, Condition::Removed);
     EXPECT_TRUE(forgotten(ms(2000)).empty());
     rig.outcome(out[0], Outcome::ConnectionLost);
     EXPECT_TRUE(forgotten(ms(2000)).empty());  // a repeat may be bound to where the first try went
@@ -1100,7 +1104,7 @@
     std::size_t count = 0;
     for (const Time end = rig.now + ms(3000); rig.now < end; rig.now += ms(10))
         for (const Send& send : rig.sends())
-            rig.outcome(send, ++count % every == 0 ? Outcome::Unreadable : Outcome::Served,
+            rig.outcome(send, ++count % every == 0 ? Outcome::MalformedResponse : Outcome::Delivered,
                 tries[send.message]++, Time(0), ms(10));
     return count;
 }
--- a/tests/wire_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -1,4 +1,4 @@
-#include "wire.hpp"
+#include "simulator_adapter.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -13,7 +13,7 @@
 
 Settings fleet(std::size_t senders) {
     Settings settings = make_settings();
-    settings.n_instances = senders;
+    settings.instance_count = senders;
     settings.max_attempts = 8;
     return settings;
 }
@@ -41,8 +41,8 @@
             if ((now - start) / ms(20) % 150 == static_cast<Time::rep>(i * 2)) rig.arrive(next++, 1);
             for (const Send& send : rig.sends()) {
                 if (now >= back) sent.push_back(now);
-                rig.outcome(send, now < back ? Outcome::ServerError : Outcome::Served, tries[send.message]++,
-                    Time(0), ms(10));
+                rig.outcome(send, now < back ? Outcome::ServerError : Outcome::Delivered,
+                    tries[send.message]++, Time(0), ms(10));
             }
         }
     EXPECT_GT(sent.size(), 5u);
@@ -81,10 +81,10 @@
     for (std::size_t i = 0; i < day.senders; ++i) {
         Settings settings = fleet(day.senders);
         settings.listed_rates = true;
-        settings.fall_multiple = day.multiple;
-        settings.cold_from = day.cold_from;
-        settings.fall = day.fall;
-        settings.warm_within = day.warm;
+        settings.overload_multiple = day.multiple;
+        settings.cold_capacity_share = day.cold_from;
+        settings.overload_window = day.fall;
+        settings.warm_up_time = day.warm;
         rigs.emplace_back(settings, i + 1);
         rigs.back().now = Time(0);
         rigs.back().list(0, 1, 0, day.capacity);
@@ -104,8 +104,8 @@
             for (const Send& send : rig.sends()) {
                 if (now >= back) sent.push_back({now, told.contains(&rig)});
                 if (!up) told.insert(&rig);
-                const auto outcome = up         ? Outcome::Served
-                                     : day.told ? Outcome::TurnedAway
+                const auto outcome = up         ? Outcome::Delivered
+                                     : day.told ? Outcome::Rejected
                                                 : Outcome::ServerError;
                 rig.outcome(
                     send, outcome, tries[send.message]++, !up && day.told ? back - now : Time(0), ms(10));
@@ -168,7 +168,7 @@
         for (MessageId id = 1; id <= 3; ++id) rig.arrive(id, 1);
         const auto out = rig.sends();
         ASSERT_FALSE(out.empty());
-        for (const Send& send : out) rig.outcome(send, Outcome::TurnedAway, 0, ms(8000));
+        for (const Send& send : out) rig.outcome(send, Outcome::Rejected, 0, ms(8000));
         EXPECT_TRUE(rig.pass(ms(7990)).empty());
         at_once += rig.pass(ms(200)).size();
     }
@@ -183,7 +183,7 @@
     std::vector<Time> at;
     for (const Time end = rig.now + ms(19000); at.size() < count && rig.now < end; rig.now += ms(1))
         for (const Send& send : rig.sends()) {
-            rig.outcome(send, Outcome::TurnedAway, static_cast<std::uint32_t>(at.size()), Time(0), ms(20),
+            rig.outcome(send, Outcome::Rejected, static_cast<std::uint32_t>(at.size()), Time(0), ms(20),
                 LoadReport{0.0, limit});
             at.push_back(rig.now);
         }
@@ -232,7 +232,7 @@
                 calls.push_back(now);
                 const bool room = static_cast<double>(calls.size()) <= limit;
                 ++crowd.calls, crowd.served += room;
-                rig.outcome(send, room ? Outcome::Served : Outcome::TurnedAway, tries[send.message]++);
+                rig.outcome(send, room ? Outcome::Delivered : Outcome::Rejected, tries[send.message]++);
             }
         }
     return crowd;
@@ -265,7 +265,7 @@
         const auto out = rig.sends();
         EXPECT_EQ(out.size(), 1u);
         rig.now += ms(50);
-        rig.outcome(out.at(0), Outcome::Served);
+        rig.outcome(out.at(0), Outcome::Delivered);
         ++next;
         return all<CloseIdle>(rig.decide()).size();
     };
@@ -277,12 +277,12 @@
     const auto out = rig.sends();
     ASSERT_EQ(out.size(), 2u);
     rig.now += ms(10);
-    rig.outcome(out[1], Outcome::NoConnection, 0, Time(0), ms(10));
+    rig.outcome(out[1], Outcome::ConnectFailed, 0, Time(0), ms(10));
     rig.now += ms(10);
-    rig.outcome(out[0], Outcome::Served);
+    rig.outcome(out[0], Outcome::Delivered);
     EXPECT_EQ(all<CloseIdle>(rig.decide()).size(), 1u);
     rig.pass(ms(500));
-    rig.outcome(out[1], Outcome::Served, 1);
+    rig.outcome(out[1], Outcome::Delivered, 1);
     ++next;
     EXPECT_EQ(closes_after(ms(1000)), 1u);
 }
@@ -299,7 +299,7 @@
         const auto out = rig.sends();  // a repeat of what was refused may be among them
         rig.now += ms(50);
         for (const Send& send : out)
-            if (send.message == next) rig.outcome(send, Outcome::Served);
+            if (send.message == next) rig.outcome(send, Outcome::Delivered);
         ++next;
         return all<CloseIdle>(rig.decide()).size();
     };
@@ -308,7 +308,7 @@
     rig.arrive(next++, 1);
     for (const Send& send : rig.sends()) {
         rig.now += ms(10);
-        rig.outcome(send, Outcome::NoConnection, 0, Time(0), ms(10));
+        rig.outcome(send, Outcome::ConnectFailed, 0, Time(0), ms(10));
     }
     rig.now += ms(1000);
     EXPECT_EQ(closes(2), 0u);
@@ -326,7 +326,7 @@
             const auto out = rig.sends();
             ASSERT_EQ(out.size(), 1u);
             rig.now += ms(50);
-            rig.outcome(out[0], i < 4 ? Outcome::Served : Outcome::ServerError);
+            rig.outcome(out[0], i < 4 ? Outcome::Delivered : Outcome::ServerError);
         }
         rig.arrive(next, 1);
         EXPECT_EQ(rig.pass(ms(200)).empty(), rare);
@@ -339,7 +339,7 @@
     std::vector<std::int64_t> waits;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Settings settings = fleet(200);
-        settings.fall = ms(3000);
+        settings.overload_window = ms(3000);
         settings.classes[kRetryable].deadline = ms(200000);
         Rig rig(settings, seed);
         rig.list(0, 1, 0, 0.0);
@@ -365,7 +365,7 @@
         const auto out = rig.sends();
         ASSERT_EQ(out.size(), 1u);
         rig.now += slow ? ms(1000) : ms(10);
-        rig.outcome(out[0], Outcome::NoConnection, 0, Time(0), slow ? ms(1000) : ms(10));
+        rig.outcome(out[0], Outcome::ConnectFailed, 0, Time(0), slow ? ms(1000) : ms(10));
         EXPECT_EQ(rig.pass(ms(300)).empty(), slow);
     }
 }
