--- a/bench/endpoint_model.hpp
+++ b/bench/endpoint_model.hpp
@@ -16,7 +16,7 @@
 
 /// What a call to an endpoint that is down meets.
 enum class DownMode {
-    RefusesConnection,  ///< NoConnection at once
+    RefusesConnection,  ///< ConnectFailed at once
     Silent              ///< no answer until the time-out
 };
 
