--- a/src/sender.cpp
+++ b/src/sender.cpp
@@ -1,7 +1,5 @@
 // The decisions of cometspoke (interface: include/cometspoke/sender.hpp). The ordinary path is mClock's tag
 // scheduler with the tags R, L and P. All else acts only under the condition that its comment names.
-#include "cometspoke/sender.hpp"
-
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -10,10 +8,13 @@
 #include <stdexcept>
 #include <utility>
 
+// The interface and the internal headers of the module.
+#include "cometspoke/sender.hpp"
 #include "counted_values.hpp"
 #include "key_sequencer.hpp"
 #include "learned_state_fields.hpp"
 #include "learned_state_io.hpp"
+#include "sender_constants.hpp"
 #include "share_queue.hpp"
 #include "time_index.hpp"
 #include "time_math.hpp"
@@ -22,73 +23,6 @@
 namespace cometspoke {
 namespace {
 
-constexpr double kSigma = 1.0;      // idle credit in sends: the design's default
-constexpr double kCapShare = 0.75;  // calls to one destination stay under this share of the slots
-constexpr double kSickShare = 0.5;  // and at most this while it fails or is slow; also all sick ones together
-
-// Learning l, in even parts of the limit: what all may send together must stay near it however many they are.
-// Steps are powers of n, the number of senders: the more they are, the rarer is each one's news.
-constexpr double kMostGain = 3.0;     // three even parts at most
-constexpr double kStartMore = 6.0;    // at the start so much more than an even part, over n
-constexpr Time kStartBurst{500'000};  // of the limit that all may send at once at the start
-constexpr double kFall = -1.0 / 3.0;  // the first refusal: a third off among three senders
-constexpr double kMostFall = 0.4;     // and so much left at least
-constexpr double kRise = 1.047;       // a success
-constexpr double kRiseRoom = 0.3;     // more with the told share of the limit that is left
-constexpr double kLeastGain = -0.63;  // a power: half an even part among three senders, 1/18 of a hundred
-constexpr Time kRegain{4'500'000};    // below an even part l doubles in such a time without a refusal
-constexpr Time kForget{8'000'000};    // and above what was refused in such a one, as far as an even part
-constexpr double kBelow = 0.85;
-
-constexpr double kUsualBlend = 0.05;  // the usual time to answer moves slowly, so slowness shows against it
-constexpr double kUsualClip = 3.0;    // one long call counts as at most so many usual ones
-constexpr double kSilentTimes = 5.0;  // summed waiting without a success, in usual times: exp(-5) by chance
-constexpr Time kLeastUsual{50'000};   // floor of the usual time, against a sweep's coarseness
-constexpr Time kFirstUsual{500'000};  // before any answer is known
-constexpr double kServedMemory_s = 5.0;  // the own rate of successes: those of about so long
-constexpr double kFailBlend = 0.3;       // two failures in a row from clean make 0.51
-constexpr double kNewsAge_s = 4.0;       // outcomes older than this tell little of now: one failure trips
-constexpr Time kLongWait{2'500'000};     // no limit makes wait so long: shut, and it opens then
-constexpr double kRoomLeft = 0.9;        // refused with so much of the limit left: shut too
-constexpr Time kSlowConnect{500'000};    // a connect that fails later found nobody: not an allowance used up
-constexpr double kFailTrip = 0.5;        // most calls failing: an outage
-constexpr double kSpoiltBlend = 0.1;     // a spoilt answer: seven in a row trip
-constexpr int kMostProbeDoublings = 10;
-constexpr double kFragileBar = 0.2;  // above this share of failures fragile messages wait
-constexpr int kShutRefusals = 3;     // refusals in a row with no success between: shut, not above a limit
-constexpr double kBudgetUse = 0.9;   // part of the fall-back budget used; limits lie below the capacity
-constexpr double kGuessUse = 0.75;   // and of a capacity that is guessed from what was served, which varies
-constexpr double kLeastCapacity = 2.0;  // calls a second that any destination is taken to stand
-constexpr double kMemory_s = 20.0, kLeastKnowing = 0.05;  // own messages a second; share that knows
-constexpr double kLeastTrials = 3.0;      // all senders together try so often in a fall-back window, at least
-constexpr Time kTrialGap{250'000};        // sends to an endpoint that is sick are at least so far apart,
-constexpr Time kLeastGap{10'000};         // and to one that answers again so far at most, and at least so
-constexpr double kTimeOutTimes = 8.0;     // time-out in usual times, where a repeat is allowed
-constexpr Time kLeastTimeOut{1'000'000};  // or, where it is shorter,
-constexpr double kLeastTimes = 12.0;      // so many usual times of all destinations
-constexpr double kTrialTimes = 2.5;       // the same for the gap between trials
-constexpr Time kLeastPaced{50'000};
-constexpr Time kLeastOvertaken{200'000};  // less where later calls to the endpoint were answered first
-constexpr double kScarce = 0.75;          // above this share of the slots taken, stuck calls are in the way
-constexpr Time kDropTrip{500'000};        // a drop and the repeat after it need this much of a dedup window
-constexpr Time kRetryGap{50'000};  // pause of a message after an attempt that failed; doubles with each
-constexpr std::uint32_t kPauseDoublings = 4;
-constexpr Time kNoticeTime{100'000};  // until the platform has heard of an end: then the next of its key goes
-constexpr Time kDedupMargin{100'000};   // a resend leaves this much before its window closes
-constexpr Time kSweep{100'000};         // silence is looked for this often while calls are out
-constexpr double kNewConnection = 0.7;  // choosing: a new connection weighs as so many calls in flight
-constexpr double kOtherZone = 0.4;      // and another zone as so many
-constexpr double kFee = 20.0;           // and a fee of one point for each message as so many
-constexpr Time kRecent{60'000'000};     // after a failed connect: allowances of connections seldom change
-constexpr double kRoomKept = 0.1;       // share of max_held_messages kept free for worth
-constexpr double kLeastDrain = 1.5;     // messages a second that any destination takes from all senders
-constexpr Time kLongStall{60'000'000};  // a stall longer than any deadline is as good as this
-constexpr Time kQuotaBurst{1'000'000};  // a tenant's quota may come this far at once
-constexpr Time kTidyGap{1'000'000};     // what has gone is looked for at most so often
-constexpr Time kStateAge{60'000'000};   // what was learned of a destination tells nothing after this
-constexpr Time kWatchGap{500'000};      // first pause after a failed list call; doubles
-constexpr int kWatchDoublings = 4;
-
 enum class Health { Well, Sick, Returning };
 
 // What is shared by all endpoints of a destination, or belongs to one where its routes are apart.
@@ -140,7 +74,8 @@
     double asked = 0;    // own messages a second, as of the last one
     Time asked_at{kLongAgo};
     double served_rate = 0;  // own successes a second, as of the last one
-    double taken_rate = 0;  // the highest of them in about kStateAge: an outage says nothing of what it takes
+    double taken_rate =
+        0;  // the highest of them in about kLearnedStateLifetime: an outage says nothing of what it takes
     Time first_served{kLongAgo}, last_served{kLongAgo};
 };
 
@@ -200,8 +135,8 @@
         }
         if (event.kind == ListUpdateKind::Failed) {
             const double spread = std::uniform_real_distribution<double>(0.5, 1.0)(random_);
-            watch_at_ = now + from_seconds(seconds(kWatchGap) * (1 << watch_tries_) * spread);
-            watch_tries_ = std::min(watch_tries_ + 1, kWatchDoublings);
+            watch_at_ = now + from_seconds(seconds(kInitialWatchPause) * (1 << watch_tries_) * spread);
+            watch_tries_ = std::min(watch_tries_ + 1, kMaxWatchPauseDoublings);
             return;
         }
         if (event.kind != ListUpdateKind::Cached) watch_tries_ = 0;
@@ -255,7 +190,9 @@
         }
         Destination& destination = destination_of(event.destination);
         const double age = seconds(now - std::exchange(destination.asked_at, now));
-        destination.asked = (destination.asked * kMemory_s * std::exp(-age / kMemory_s) + 1.0) / kMemory_s;
+        destination.asked =
+            (destination.asked * kArrivalRateMemory_s * std::exp(-age / kArrivalRateMemory_s) + 1.0) /
+            kArrivalRateMemory_s;
         destination.held.emplace(message.arrival, event.message);
         if (brings_news(message)) ++destination.repeatable;
         destination.aims.add(kind.target_latency);
@@ -428,7 +365,7 @@
         route.known = entry.agreed_rate_per_s;
         // as if all had long been sending: one send each at once would be n of them
         const double phase = std::uniform_real_distribution<double>(0.0, others())(random_);
-        route.limit_tag = now - kStartBurst + from_seconds(phase / limit(route, destination));
+        route.limit_tag = now - kInitialBurst + from_seconds(phase / limit(route, destination));
     }
 
     Destination& destination_of(DestinationId id) {
@@ -451,11 +388,11 @@
     // What nothing names any more is forgotten. An endpoint is named by a list, a call or a doubt; a
     // destination by an endpoint, a message or what is still worth knowing of it.
     void tidy(Time now) {
-        tidy_at_ = now + kTidyGap;
+        tidy_at_ = now + kCleanupInterval;
         std::erase_if(gone_, [&](EndpointId id) {
             const Endpoint& endpoint = endpoints_.at(id);  // listed again, its wait and its outage hold still
             const Time known = std::max(endpoint.own.wait_until,
-                endpoint.health == Health::Well ? kLongAgo : endpoint.heard + kStateAge);
+                endpoint.health == Health::Well ? kLongAgo : endpoint.heard + kLearnedStateLifetime);
             if (endpoint.in_flight > 0 || doubts_.contains(id) || known > now) return false;
             leave(endpoint, id);
             endpoints_.erase(id);
@@ -467,7 +404,7 @@
             const Destination& destination = destinations_.at(id);
             const Time last = std::max({destination.asked_at, destination.last_served,
                 destination.shared.wait_until, destination.shared.limit_tag});
-            if (!destination.held.empty() || destination.in_flight > 0 || last + kStateAge > now)
+            if (!destination.held.empty() || destination.in_flight > 0 || last + kLearnedStateLifetime > now)
                 return false;
             destinations_.erase(id);
             return true;
@@ -479,7 +416,8 @@
     void activate(DestinationId id, Destination& newcomer, Time now) {
         newcomer.reservation_tag = std::max(newcomer.reservation_tag, now);
         newcomer.shared.limit_tag = std::max(newcomer.shared.limit_tag, now);
-        queue_.activate(id, std::max(newcomer.share_tag, now - from_seconds(kSigma / newcomer.weight)));
+        queue_.activate(
+            id, std::max(newcomer.share_tag, now - from_seconds(kMaxIdleCredit_calls / newcomer.weight)));
     }
     // The earliest moment at which one of its endpoints may be open.
     Time closed_until(const Destination& destination, Time now) const {
@@ -526,9 +464,10 @@
     // The slot cap: three quarters, and half while it fails or is slow.
     bool has_room(const Destination& destination) const {
         const double slots = static_cast<double>(settings_.max_calls);
-        if (destination.in_flight > 0 && destination.in_flight + 1 >= kCapShare * slots) return false;
+        if (destination.in_flight > 0 && destination.in_flight + 1 >= kMaxDestinationCallShare * slots)
+            return false;
         return destination.in_flight == 0 || !ailing(destination) ||
-               destination.in_flight + 1 <= kSickShare * slots;
+               destination.in_flight + 1 <= kMaxDegradedCallShare * slots;
     }
     // All that is sick leaves half of the slots to the healthy. A route apart that is well is not held back
     // for a sick one beside it.
@@ -538,8 +477,8 @@
         const double slots = static_cast<double>(settings_.max_calls);
         // one trial each while slots are left: after a stall of all, stuck calls must not keep them unheard
         const int out = apart(endpoint) ? endpoint.in_flight : destination.in_flight;
-        if (out == 0 && static_cast<double>(calls_.size()) < kScarce * slots) return true;
-        return sick_calls() + 1 <= std::max(1.0, kSickShare * slots);
+        if (out == 0 && static_cast<double>(calls_.size()) < kScarceCallShare * slots) return true;
+        return sick_calls() + 1 <= std::max(1.0, kMaxDegradedCallShare * slots);
     }
     int sick_calls() const {
         if (sick_calls_) return *sick_calls_;
@@ -571,7 +510,7 @@
         if (endpoint.health != Health::Well) spend_budget(endpoint, now);
         const double w = destination.weight;
         const Time share = queue_.tag(endpoint.destination) + gap_of(w);
-        queue_.set_tag(endpoint.destination, std::max(share, now - from_seconds(kSigma / w)));
+        queue_.set_tag(endpoint.destination, std::max(share, now - from_seconds(kMaxIdleCredit_calls / w)));
         if (settings_.reservation_per_s <= 0) return;
         const Time step = gap_of(settings_.reservation_per_s);
         destination.reservation_tag = std::max(destination.reservation_tag + step, now);
@@ -652,7 +591,7 @@
         const ClassSettings& kind = *message.terms;
         if (kind.delivery == DeliverySemantics::Retryable) return kNever;
         if (kind.delivery == DeliverySemantics::AtMostOnce) return kLongAgo;
-        return *message.doubt_since + kind.dedup_window - kDedupMargin;
+        return *message.doubt_since + kind.dedup_window - kDedupWindowMargin;
     }
 
     std::optional<EndpointId> endpoint_for(
@@ -671,11 +610,11 @@
     // the own zone where zones cost nothing.
     double cost_of(const Endpoint& endpoint, Time now) const {
         double cost = endpoint.in_flight;
-        if (!has_idle(endpoint, now)) cost += kNewConnection;
+        if (!has_idle(endpoint, now)) cost += kNewConnectionCost_calls;
         if (apart(endpoint) && endpoint.zone < settings_.zone_costs.size())
-            cost += kFee * settings_.zone_costs[endpoint.zone];
+            cost += kZoneCostPoint_calls * settings_.zone_costs[endpoint.zone];
         else if (settings_.zone && endpoint.zone != *settings_.zone)
-            cost += kOtherZone;
+            cost += kOtherZoneCost_calls;
         if (endpoint.health != Health::Well) cost += 1.0;
         return cost;
     }
@@ -702,14 +641,14 @@
         const Destination& destination = destinations_.at(endpoint.destination);
         if (destination.repeatable > 0) return false;
         if (endpoint.in_flight == 0) return true;
-        const int doublings = std::min(endpoint.in_flight - 1, kMostProbeDoublings);
+        const int doublings = std::min(endpoint.in_flight - 1, kMaxProbePauseDoublings);
         return now >= endpoint.used + patience(destination) * (1 << doublings);
     }
     // Fragile messages keep away from endpoints that fail; dedup resends keep to the scope of the first.
     bool may_go(const Message& message, EndpointId to, Time now) const {
         const ClassSettings& kind = *message.terms;
         const Endpoint& endpoint = endpoints_.at(to);
-        const bool fails = endpoint.failing > kFragileBar || endpoint.health == Health::Sick;
+        const bool fails = endpoint.failing > kMaxAtMostOnceFailureShare || endpoint.health == Health::Sick;
         if (kind.delivery == DeliverySemantics::AtMostOnce && fails && !may_probe(endpoint, now))
             return false;
         if (kind.delivery != DeliverySemantics::Deduplicated || !message.doubt_since ||
@@ -727,17 +666,18 @@
         return wait ? left : std::min(left, patience(destinations_.at(message.destination)));
     }
     Time patience(const Destination& destination) const {
-        return std::max(from_seconds(kTimeOutTimes * usual(destination)), paced(kLeastTimeOut, kLeastTimes));
+        return std::max(from_seconds(kTimeoutTypicalLatencies * usual(destination)),
+            paced(kMinTimeout, kMinTimeoutTypicalLatencies));
     }
 
     Time short_patience(const Destination& destination) const {
-        return std::max(from_seconds(kTimeOutTimes * usual(destination)), kLeastOvertaken);
+        return std::max(from_seconds(kTimeoutTypicalLatencies * usual(destination)), kMinOvertakenTimeout);
     }
 
     // A fixed span is meant for answers in a tenth of a second or more; where all answer sooner it shrinks.
     Time paced(Time span, double times) const {
         if (overall_usual_ <= 0) return span;
-        return std::min(span, std::max(kLeastPaced, from_seconds(times * overall_usual_)));
+        return std::min(span, std::max(kMinScaledDuration, from_seconds(times * overall_usual_)));
     }
 
     // A long call is dropped where its endpoint answered calls sent later, or where the sick hold slots that
@@ -747,8 +687,8 @@
         sick_calls_.reset();
         if (!settings_.can_cancel) return;
         const auto slots = static_cast<double>(settings_.max_calls), out = static_cast<double>(calls_.size());
-        const bool jammed = out > kScarce * slots;
-        const bool scarce = jammed || sick_calls() + 1 > kSickShare * slots;
+        const bool jammed = out > kScarceCallShare * slots;
+        const bool scarce = jammed || sick_calls() + 1 > kMaxDegradedCallShare * slots;
         std::map<EndpointId, std::pair<std::uint64_t, Time>> oldest_newest;  // calls are numbered by age
         for (const auto& [id, call] : calls_)
             oldest_newest.try_emplace(call.endpoint, id, call.sent).first->second.second = call.sent;
@@ -776,7 +716,7 @@
         if (message.attempts >= settings_.max_attempts || kind.delivery == DeliverySemantics::AtMostOnce)
             return false;
         if (kind.delivery == DeliverySemantics::Retryable) return true;
-        return now + kDropTrip <
+        return now + kCancelAndRepeatTime <
                std::min(call.sent, message.doubt_since.value_or(call.sent)) + kind.dedup_window;
     }
 
@@ -793,7 +733,8 @@
     void close_idle(Time now) {
         for (const EndpointId id : std::exchange(freed_, {})) {
             Endpoint& endpoint = endpoints_.at(id);
-            if (endpoint.idle.empty() || (endpoint.often && now - unconnected_[endpoint.kind] > kRecent))
+            if (endpoint.idle.empty() ||
+                (endpoint.often && now - unconnected_[endpoint.kind] > kRefusedConnectMemory))
                 continue;
             endpoint.idle.clear();
             actions_.emplace_back(CloseIdle{id});
@@ -814,14 +755,16 @@
         if (route.gain == 0.0) return route.known / senders() * start_gain();
         return capacity(route, destination) / senders() * route.gain;
     }
-    double start_gain() const { return std::min(most_gain(), 1.0 + kStartMore / senders()); }
-    double most_gain() const { return std::min(senders(), kMostGain); }
+    double start_gain() const { return std::min(most_gain(), 1.0 + kInitialExtraFairShares / senders()); }
+    double most_gain() const { return std::min(senders(), kMaxFairShares); }
     // Without a known limit it stands for what was served, which must be able to rise, also where one sends.
-    double most_gain(const Route& route) const { return route.known > 0 ? most_gain() : kMostGain; }
+    double most_gain(const Route& route) const { return route.known > 0 ? most_gain() : kMaxFairShares; }
     double steps_base() const { return std::max(2.0, senders()); }
-    double regain_time(const Route& route) const { return seconds(kRegain) * std::max(1, route.refusals); }
-    // 1/l, or the time in which a lowered l that doubles every kRegain allows one send, up to what it returns
-    // to.
+    double regain_time(const Route& route) const {
+        return seconds(kShareDoublingTime) * std::max(1, route.refusals);
+    }
+    // 1/l, or the time in which a lowered l that doubles every kShareDoublingTime allows one send, up to what
+    // it returns to.
     Time limit_gap(const Route& route, const Destination& destination) const {
         const double l = limit(route, destination);
         if (l <= 0 || route.gain == 0.0 || route.gain >= route.ceiling) return gap_of(l);
@@ -831,13 +774,13 @@
     }
     double capacity(const Route& route, const Destination& destination) const {
         if (route.known > 0) return route.known;
-        return std::max(kLeastCapacity, destination.taken_rate * senders());
+        return std::max(kMinCapacity_per_s, destination.taken_rate * senders());
     }
     double others() const { return 1.0 - 1.0 / senders(); }  // share of the senders that are not this one
     double senders() const { return static_cast<double>(settings_.instance_count); }
     double usual(const Destination& destination) const {
         const double known = destination.usual > 0 ? destination.usual : overall_usual_;
-        return std::max(known > 0 ? known : seconds(kFirstUsual), seconds(kLeastUsual));
+        return std::max(known > 0 ? known : seconds(kInitialTypicalLatency), seconds(kMinTypicalLatency));
     }
 
     void learn(
@@ -858,13 +801,13 @@
                 if (other.endpoint == id && other.sent < sent) other.overtaken = true;
             return succeed(id, report ? report->remaining_share : 0.0, rtt, now);
         }
-        const bool shut =
-            outcome == Outcome::Rejected &&
-            (route.wait_until > now + kLongWait || (report && report->remaining_share > kRoomLeft));
+        const bool shut = outcome == Outcome::Rejected &&
+                          (route.wait_until > now + kMaxRateLimitWait ||
+                              (report && report->remaining_share > kMaxRemainingShareAtLimit));
         // what is shut or sick refuses for another reason than its limit
         if (outcome == Outcome::Rejected && !shut && endpoint.health != Health::Sick)
             lower_limit(route, endpoint, now);
-        const bool no_room = outcome == Outcome::ConnectFailed && now - sent < kSlowConnect;
+        const bool no_room = outcome == Outcome::ConnectFailed && now - sent < kMaxRefusedConnectTime;
         if (no_room) endpoint.unconnected_at = now;
         // calls that broke off, then a refused connect: the process died
         const bool died = no_room && endpoint.lost_at > endpoint.last_good;
@@ -874,22 +817,24 @@
             // refusals of calls sent before the last one was known are the same piece of news
             if (sent <= endpoint.refused_at) return;
             endpoint.refused_at = now;
-            if (++endpoint.refused_row < kShutRefusals) return;
+            if (++endpoint.refused_row < kClosedAfterRefusals) return;
             if (outcome == Outcome::Rejected) forget_refusals(route, now);
         }
         endpoint.failing += news(endpoint, now) * (1.0 - endpoint.failing);
         endpoint.failure_seen = true;
-        if (route.wait_until > now + kLongWait)  // a told opening holds for all endpoints that share the wait
+        if (route.wait_until >
+            now + kMaxRateLimitWait)  // a told opening holds for all endpoints that share the wait
             for (const EndpointId other : destinations_.at(endpoint.destination).endpoints)
                 if (&route_of(endpoints_.at(other)) == &route) fall_sick(endpoints_.at(other), now);
-        if (endpoint.health == Health::Returning || endpoint.failing > kFailTrip) fall_sick(endpoint, now);
+        if (endpoint.health == Health::Returning || endpoint.failing > kMaxHealthyFailureShare)
+            fall_sick(endpoint, now);
     }
 
     // It took the call and answered: no sign of an outage, unless hardly any other answer comes.
     void spoil(Endpoint& endpoint, Time now) {
-        endpoint.failing += kSpoiltBlend * (1.0 - endpoint.failing);
+        endpoint.failing += kMalformedResponseWeight * (1.0 - endpoint.failing);
         endpoint.heard = now;
-        if (endpoint.failing <= kFailTrip || endpoint.health != Health::Well) return;
+        if (endpoint.failing <= kMaxHealthyFailureShare || endpoint.health != Health::Well) return;
         endpoint.failure_seen = true;
         fall_sick(endpoint, now);
     }
@@ -897,7 +842,7 @@
     // How much the newest outcome weighs in the share of failures: more where the ones before are old.
     double news(Endpoint& endpoint, Time now) {
         const double age = seconds(now - std::exchange(endpoint.heard, now));
-        return std::max(kFailBlend, 1.0 - std::exp(-age / kNewsAge_s));
+        return std::max(kMinOutcomeWeight, 1.0 - std::exp(-age / kOutcomeMemory_s));
     }
 
     void lower_limit(Route& route, const Endpoint& endpoint, Time now) {
@@ -905,9 +850,10 @@
         regain(route, now);
         if (route.refusals == 0) route.gain_before = route.gain, route.ceiling_before = route.ceiling;
         const double before = route.gain > 0 ? route.gain : start_gain();
-        const double fall = std::max(kMostFall, std::pow(steps_base(), kFall * ++route.refusals));
-        route.ceiling = kBelow * before;
-        route.gain = std::max(std::pow(steps_base(), kLeastGain), before * fall);
+        const double fall =
+            std::max(kMinRefusalFactor, std::pow(steps_base(), kRefusalExponent * ++route.refusals));
+        route.ceiling = kCeilingPerRefusedShare * before;
+        route.gain = std::max(std::pow(steps_base(), kMinShareExponent), before * fall);
         if ((apart(endpoint) ? endpoint.in_flight : destination.in_flight) > 1) return;
         const double spread = std::uniform_real_distribution<double>(0.5, 1.5)(random_);
         const double gap = seconds(limit_gap(route, destination));
@@ -926,7 +872,8 @@
         if (route.gain < route.ceiling)
             route.gain = std::min(route.ceiling, route.gain * std::exp2(since / regain_time(route)));
         else if (route.gain < 1.0)
-            route.gain = std::min(1.0, route.gain * std::exp2(since / seconds(kForget)));
+            route.gain =
+                std::min(1.0, route.gain * std::exp2(since / seconds(kShareDoublingTimeAboveCeiling)));
     }
 
     void succeed(EndpointId id, double left, Time rtt, Time now) {
@@ -934,15 +881,17 @@
         Destination& destination = destinations_.at(endpoint.destination);
         Route& route = route_of(endpoint);
         regain(route, now);
-        route.gain = std::min(most_gain(route), route.gain * kRise * std::pow(senders(), left * kRiseRoom));
+        route.gain = std::min(most_gain(route),
+            route.gain * kSuccessFactor * std::pow(senders(), left * kRemainingShareExponent));
         route.refusals = 0;
         if (rtt > Time(0)) {
             blend_usual(destination.usual, seconds(rtt));
             blend_usual(overall_usual_, seconds(rtt));
         }
         if (destination.served_rate <= 0) destination.first_served = now;
-        destination.served_rate = faded_rate(destination, now) + 1.0 / kServedMemory_s;
-        destination.taken_rate *= std::exp(-seconds(now - destination.last_served) / seconds(kStateAge));
+        destination.served_rate = faded_rate(destination, now) + 1.0 / kSuccessRateMemory_s;
+        destination.taken_rate *=
+            std::exp(-seconds(now - destination.last_served) / seconds(kLearnedStateLifetime));
         destination.taken_rate = std::max(destination.taken_rate, destination.served_rate);
         destination.last_served = now;
         endpoint.failing *= 1.0 - news(endpoint, now);
@@ -953,14 +902,15 @@
 
     void blend_usual(double& usual_time, double sample) {
         if (usual_time <= 0) usual_time = sample;
-        usual_time += kUsualBlend * (std::min(sample, kUsualClip * usual_time) - usual_time);
+        usual_time +=
+            kTypicalLatencyWeight * (std::min(sample, kMaxSampleTypicalLatencies * usual_time) - usual_time);
     }
 
     void fall_sick(Endpoint& endpoint, Time now) {
         if (endpoint.health == Health::Well) endpoint.knowing = 0.0;
         if (endpoint.health == Health::Well || endpoint.last_good > endpoint.fell) endpoint.fell = now;
         endpoint.health = Health::Sick;
-        if (const Time opening = route_of(endpoint).wait_until; opening > now + kLongWait) {
+        if (const Time opening = route_of(endpoint).wait_until; opening > now + kMaxRateLimitWait) {
             endpoint.health = Health::Returning;
             endpoint.returned = endpoint.cold_tag = opening;
         }
@@ -993,7 +943,7 @@
     void spend_budget(Endpoint& endpoint, Time now) {
         const Destination& destination = destinations_.at(endpoint.destination);
         double present = capacity(route_of(endpoint), destination);
-        if (route_of(endpoint).known <= 0) present *= kGuessUse;
+        if (route_of(endpoint).known <= 0) present *= kEstimatedCapacityUse;
         if (!apart(endpoint))
             present /= static_cast<double>(std::max<std::size_t>(1, destination.endpoints.size()));
         const Time from = std::max(endpoint.cold_tag, now);
@@ -1001,12 +951,13 @@
         if (endpoint.last_good <= endpoint.fell) {
             const Time out = from - (endpoint.last_good + endpoint.fell) / 2;
             const double told = 1.0 - std::exp(-destination.asked * seconds(out));
-            endpoint.knowing = std::max({kLeastKnowing, endpoint.knowing, told});
+            endpoint.knowing = std::max({kMinInformedShare, endpoint.knowing, told});
         }
-        const double rate = kBudgetUse * settings_.overload_multiple * settings_.cold_capacity_share *
+        const double rate = kRecoveryBudgetUse * settings_.overload_multiple * settings_.cold_capacity_share *
                             present / (senders() * endpoint.knowing);
         const bool answers = endpoint.health == Health::Returning && endpoint.last_good > endpoint.fell;
-        const double longest = answers ? 1e6 : seconds(settings_.overload_window) * senders() / kLeastTrials;
+        const double longest =
+            answers ? 1e6 : seconds(settings_.overload_window) * senders() / kMinProbesPerOverloadWindow;
         const double step =
             std::uniform_real_distribution<double>(0.5, 1.5)(random_) * std::min(1.0 / rate, longest);
         // not heard of for a warm-up and a half: it may well be back
@@ -1022,7 +973,7 @@
             const double due = since + rise * since * since / 2.0 + step - flat;
             gap = flat + (std::sqrt(1.0 + 2.0 * rise * due) - 1.0) / rise - since;
         }
-        const Time least = answers ? kLeastGap : paced(kTrialGap, kTrialTimes);
+        const Time least = answers ? kMinRecoveringGap : paced(kMinProbeGap, kMinProbeGapTypicalLatencies);
         endpoint.cold_tag = from + std::max(least, from_seconds(gap));
     }
 
@@ -1037,7 +988,8 @@
         }
         for (const auto& [id, sum] : waiting) {
             Endpoint& endpoint = endpoints_.at(id);
-            if (sum > kSilentTimes && endpoint.health == Health::Well) fall_sick(endpoint, now);
+            if (sum > kMaxSilenceTypicalLatencies && endpoint.health == Health::Well)
+                fall_sick(endpoint, now);
         }
     }
 
@@ -1061,7 +1013,7 @@
         if (event.terminal || event.outcome == Outcome::Delivered) return forget(event.message, now);
         if (event.outcome == Outcome::Withheld) --message.attempts;
         message.not_before =
-            now + (event.outcome == Outcome::Withheld ? kRetryGap : pause_after(message, now));
+            now + (event.outcome == Outcome::Withheld ? kInitialRetryPause : pause_after(message, now));
         if (!never_ran && (!message.doubt_since || call.sent < *message.doubt_since)) {
             message.doubt_since = call.sent;
             doubt_at(message, call.endpoint);
@@ -1072,8 +1024,8 @@
     // Doubling; from half of the allowed attempts on, those left are spread over the time left: otherwise
     // they are used up in the middle of a long outage.
     Time pause_after(const Message& message, Time now) const {
-        const Time doubled =
-            kRetryGap * (1 << std::min<std::uint32_t>(message.attempts - 1, kPauseDoublings));
+        const Time doubled = kInitialRetryPause *
+                             (1 << std::min<std::uint32_t>(message.attempts - 1, kMaxRetryPauseDoublings));
         if (message.attempts * 2 < settings_.max_attempts || message.attempts >= settings_.max_attempts)
             return doubled;
         const auto left = static_cast<Time::rep>(settings_.max_attempts - message.attempts);
@@ -1121,7 +1073,7 @@
             actions_.emplace_back(Refuse{id, come_back_in(messages_.at(id), now)});
         else
             actions_.emplace_back(Fail{id});
-        if (const auto key = messages_.at(id).key) keys_.rest(*key, id, now + kNoticeTime);
+        if (const auto key = messages_.at(id).key) keys_.rest(*key, id, now + kEndNoticeTime);
         forget(id, now);
     }
     // When a client should come again: once the outage or the backlog is likely to be over, and while there
@@ -1146,11 +1098,11 @@
         messages_.erase(found);
     }
 
-    // A tenant's own part of its quota, as a tag that may run ahead by kQuotaBurst.
+    // A tenant's own part of its quota, as a tag that may run ahead by kMaxQuotaBurst.
     bool over_quota(std::size_t index, Time now) {
         const Time gap = gap_of(settings_.tenants[index].quota_per_s / senders());
         const Time next = std::max(quota_tags_[index], now) + gap;
-        if (next > now + std::max(gap, kQuotaBurst)) return true;
+        if (next > now + std::max(gap, kMaxQuotaBurst)) return true;
         quota_tags_[index] = next;
         return false;
     }
@@ -1158,8 +1110,8 @@
     // Nearly full: of those that may be refused, the one that will be worth least when its turn comes goes,
     // the latest of equals. What is down thus cannot fill the room of others.
     void keep_room(Time now) {
-        const auto most =
-            static_cast<std::size_t>(static_cast<double>(settings_.max_held_messages) * (1.0 - kRoomKept));
+        const auto most = static_cast<std::size_t>(
+            static_cast<double>(settings_.max_held_messages) * (1.0 - kFreeHeldShare));
         while (messages_.size() > std::max<std::size_t>(1, most)) {
             std::optional<MessageId> least;
             std::pair lowest{0.0, 0.0};
@@ -1181,17 +1133,18 @@
     // While it ails, a destination is expected to stay so for as long again as it has been without a success.
     Time stalled(const Destination& destination, Time now) const {
         if (!ailing(destination)) return Time(0);
-        return std::min(kLongStall, now - destination.last_served);
+        return std::min(kMaxExpectedStall, now - destination.last_served);
     }
     double drain_rate(const Destination& destination, Time now) const {
         // a memory that is not full yet knows of less than its whole span
         const double known =
-            1.0 - std::exp(-std::max(1.0, seconds(now - destination.first_served)) / kServedMemory_s);
-        return std::max(kLeastDrain / senders(), faded_rate(destination, now) / known);
+            1.0 - std::exp(-std::max(1.0, seconds(now - destination.first_served)) / kSuccessRateMemory_s);
+        return std::max(kMinDrainRate_per_s / senders(), faded_rate(destination, now) / known);
     }
     double faded_rate(const Destination& destination, Time now) const {
         if (destination.served_rate <= 0) return 0.0;
-        return destination.served_rate * std::exp(-seconds(now - destination.last_served) / kServedMemory_s);
+        return destination.served_rate *
+               std::exp(-seconds(now - destination.last_served) / kSuccessRateMemory_s);
     }
     double worth_of(const Message& message, Time served) const {
         const ClassSettings& kind = *message.terms;
@@ -1208,7 +1161,7 @@
 
     void set_timer(Time now) {
         Time next = watch_at_;
-        if (!calls_.empty()) next = std::min(next, now + paced(kSweep, 1.0));
+        if (!calls_.empty()) next = std::min(next, now + paced(kSilenceCheckInterval, 1.0));
         for (const MessageId id : pauses_.due(now)) pauses_.erase(id);
         for (const auto& due : {ends_.earliest(), pauses_.earliest()})
             next = std::min(next, due.value_or(kNever));
