--- a/src/learned_state_fields.hpp
+++ b/src/learned_state_fields.hpp
@@ -6,45 +6,45 @@
 
 namespace cometspoke {
 
-void each_figure(auto& route, auto& visit) requires requires { route.gain; }
+void each_figure(auto& limiter, auto& visit) requires requires { limiter.share; }
 {
-    visit("wait_until", route.wait_until);
-    visit("limit_tag", route.limit_tag);
-    visit("known", route.known);
-    visit("gain", route.gain);
-    visit("refusals", route.refusals);
-    visit("ceiling", route.ceiling);
-    visit("learned_at", route.learned_at);
+    visit("wait_until", limiter.retry_after_until);
+    visit("limit_tag", limiter.limit_tag);
+    visit("known", limiter.known_limit_per_s);
+    visit("gain", limiter.share);
+    visit("refusals", limiter.refusals);
+    visit("ceiling", limiter.share_ceiling);
+    visit("learned_at", limiter.share_changed_at);
 }
 void each_figure(auto& endpoint, auto& visit) requires requires { endpoint.health; }
 {
-    each_figure(endpoint.own, visit);
-    visit("used", endpoint.used);
-    visit("heard", endpoint.heard);
-    visit("often", endpoint.often);
+    each_figure(endpoint.own_limiter, visit);
+    visit("used", endpoint.last_sent_at);
+    visit("heard", endpoint.last_outcome_at);
+    visit("often", endpoint.frequently_used);
     visit("health", endpoint.health);
     visit("failure_seen", endpoint.failure_seen);
-    visit("failing", endpoint.failing);
-    visit("refused_row", endpoint.refused_row);
-    visit("last_good", endpoint.last_good);
-    visit("refused_at", endpoint.refused_at);
-    visit("lost_at", endpoint.lost_at);
-    visit("unconnected_at", endpoint.unconnected_at);
-    visit("fell", endpoint.fell);
-    visit("knowing", endpoint.knowing);
-    visit("returned", endpoint.returned);
-    visit("cold_tag", endpoint.cold_tag);
+    visit("failing", endpoint.failure_share);
+    visit("refused_row", endpoint.refusals_in_row);
+    visit("last_good", endpoint.last_success_at);
+    visit("refused_at", endpoint.last_refusal_at);
+    visit("lost_at", endpoint.connection_lost_at);
+    visit("unconnected_at", endpoint.connect_refused_at);
+    visit("fell", endpoint.unhealthy_since);
+    visit("knowing", endpoint.informed_share);
+    visit("returned", endpoint.recovering_since);
+    visit("cold_tag", endpoint.recovery_tag);
 }
 void each_figure(auto& destination, auto& visit) requires requires { destination.held; }
 {
-    each_figure(destination.shared, visit);
-    visit("usual", destination.usual);
-    visit("asked", destination.asked);
-    visit("asked_at", destination.asked_at);
-    visit("served_rate", destination.served_rate);
-    visit("taken_rate", destination.taken_rate);
-    visit("first_served", destination.first_served);
-    visit("last_served", destination.last_served);
+    each_figure(destination.shared_limiter, visit);
+    visit("usual", destination.typical_latency_s);
+    visit("asked", destination.arrival_rate_per_s);
+    visit("asked_at", destination.last_arrival_at);
+    visit("served_rate", destination.success_rate_per_s);
+    visit("taken_rate", destination.peak_success_rate_per_s);
+    visit("first_served", destination.first_success_at);
+    visit("last_served", destination.last_success_at);
 }
 
 }  // namespace cometspoke
--- a/src/sender.cpp
+++ b/src/sender.cpp
@@ -15,104 +15,13 @@
 #include "learned_state_fields.hpp"
 #include "learned_state_io.hpp"
 #include "sender_constants.hpp"
+#include "sender_state.hpp"
 #include "share_queue.hpp"
 #include "time_index.hpp"
 #include "time_math.hpp"
 #include "validate_settings.hpp"
 
 namespace cometspoke {
-namespace {
-
-enum class Health { Well, Sick, Returning };
-
-// What is shared by all endpoints of a destination, or belongs to one where its routes are apart.
-struct Route {
-    Time wait_until{kLongAgo};  // told wait
-    Time limit_tag{kLongAgo};   // L
-    double known = 0.0;         // limit in calls a second from all senders, listed or reported; 0: none known
-    double gain = 0.0;          // own part of it, in even parts; 0: no refusal yet, the whole
-    int refusals = 0;           // falls since the last success
-    double ceiling = 1.0;       // the gain returns fast up to here, just below where it was refused
-    Time learned_at{kLongAgo};  // the last change of the gain
-    double gain_before = 0.0, ceiling_before = 1.0;  // as of the last success
-};
-
-struct Endpoint {
-    DestinationId destination = 0;
-    std::size_t zone = 0;
-    std::size_t kind = 0;
-    Condition condition = Condition::Removed;
-    Route own;  // used where routes are apart
-    int in_flight = 0;
-    std::vector<Time> idle;  // when each idle connection closes
-    Time used{kLongAgo};     // the last call's sending
-    Time heard{kLongAgo};    // the last outcome that counted for health
-    bool often = false;      // it came soon after the one before
-    Health health = Health::Well;
-    bool failure_seen = false;  // since it fell sick
-    double failing = 0.0;       // blended share of calls that fail
-    int refused_row = 0;
-    Time last_good{kLongAgo}, refused_at{kLongAgo}, lost_at{kLongAgo}, unconnected_at{kLongAgo};
-    Time fell{kLongAgo};      // when it was last found not well
-    double knowing = 1.0;     // share of the senders that know of the outage
-    Time returned{0};         // first success after an outage, or its told opening
-    Time cold_tag{kLongAgo};  // L while it is not well: the fall-back budget
-};
-
-struct Destination {
-    Route shared;
-    std::set<EndpointId> endpoints;
-    std::size_t named = 0;                    // by so many endpoints, listed or not forgotten yet
-    std::map<std::uint64_t, MessageId> held;  // by arrival; those with an attempt out stay in place
-    CountedValues<Time> aims;                 // of them
-    std::size_t repeatable = 0;               // of them, those that bring news of an endpoint at little risk
-    double weight = 1.0;                      // w: the listed rate, if there is one
-    Time reservation_tag{kLongAgo};           // R
-    Time share_tag{kLongAgo};                 // P, while it holds no message
-    int in_flight = 0;
-    double usual = 0.0;  // seconds to answer, blended slowly
-    double asked = 0;    // own messages a second, as of the last one
-    Time asked_at{kLongAgo};
-    double served_rate = 0;  // own successes a second, as of the last one
-    double taken_rate =
-        0;  // the highest of them in about kLearnedStateLifetime: an outage says nothing of what it takes
-    Time first_served{kLongAgo}, last_served{kLongAgo};
-};
-
-struct Message {
-    std::shared_ptr<const ClassSettings> terms;  // its class, as it was when the message was taken on
-    DestinationId destination = 0;
-    std::uint64_t arrival = 0;
-    std::optional<std::uint64_t> key;
-    Time born{0}, deadline{0}, not_before{kLongAgo};
-    bool over_share = false;
-    std::uint32_t attempts = 0;
-    int out = 0;
-    std::optional<Time> doubt_since;  // sending of the first attempt that may have run
-    std::optional<EndpointId> doubt_at;
-};
-
-struct Call {
-    EndpointId endpoint = 0;
-    Time sent{0};
-    std::size_t out = 0;
-    bool judged = false;
-    bool overtaken = false;  // one sent to its endpoint later was answered
-};
-
-struct Attempt {
-    std::uint64_t call = 0;  // the call that carries it
-    std::optional<std::uint64_t> key;
-    bool dropped = false;
-};
-
-struct Pick {
-    DestinationId destination = 0;
-    MessageId message = 0;
-    EndpointId endpoint = 0;
-};
-
-}  // namespace
 
 class Sender::Impl {
 public:
@@ -155,7 +64,7 @@
         const auto found = endpoints_.find(event.endpoint);
         if (event.disabled) {
             if (!banned_.insert(event.endpoint).second) return;
-            if (found != endpoints_.end()) found->second.idle.clear();
+            if (found != endpoints_.end()) found->second.idle_connections.clear();
             actions_.emplace_back(CloseIdle{event.endpoint});
         } else if (banned_.erase(event.endpoint) > 0 && found != endpoints_.end()) {
             return_cold(found->second, now);
@@ -169,17 +78,18 @@
         if (event.tenant && *event.tenant >= quota_tags_.size()) throw std::invalid_argument("tenant");
         if (messages_.contains(event.message)) return;
         Message message;
-        message.terms = event.class_settings ? std::make_shared<const ClassSettings>(*event.class_settings)
-                                             : classes_[event.message_class];
-        const ClassSettings& kind = *message.terms;
+        message.class_settings = event.class_settings
+                                     ? std::make_shared<const ClassSettings>(*event.class_settings)
+                                     : classes_[event.message_class];
+        const ClassSettings& kind = *message.class_settings;
         message.destination = event.destination;
-        message.arrival = ++arrivals_;
-        message.born = now + event.time_left - kind.deadline;
+        message.arrival_number = ++arrivals_;
+        message.accepted_at = now + event.time_left - kind.deadline;
         message.deadline = now + event.time_left;
-        message.over_share = event.tenant && over_quota(*event.tenant, now);
+        message.over_quota = event.tenant && over_quota(*event.tenant, now);
         message.attempts = event.attempts;  // a restart changes nothing in what may have run
         if (event.ambiguous_attempt) {
-            message.doubt_since = now - event.ambiguous_attempt->age;
+            message.ambiguous_since = now - event.ambiguous_attempt->age;
             doubt_at(message, event.ambiguous_attempt->endpoint);
         }
         if (kind.sequential && event.key) {
@@ -189,13 +99,14 @@
                 keys_.rest(*event.key, event.message, now + settings_.ambiguous_settle_time);
         }
         Destination& destination = destination_of(event.destination);
-        const double age = seconds(now - std::exchange(destination.asked_at, now));
-        destination.asked =
-            (destination.asked * kArrivalRateMemory_s * std::exp(-age / kArrivalRateMemory_s) + 1.0) /
+        const double age = seconds(now - std::exchange(destination.last_arrival_at, now));
+        destination.arrival_rate_per_s =
+            (destination.arrival_rate_per_s * kArrivalRateMemory_s * std::exp(-age / kArrivalRateMemory_s) +
+                1.0) /
             kArrivalRateMemory_s;
-        destination.held.emplace(message.arrival, event.message);
-        if (brings_news(message)) ++destination.repeatable;
-        destination.aims.add(kind.target_latency);
+        destination.held.emplace(message.arrival_number, event.message);
+        if (brings_news(message)) ++destination.safe_probes;
+        destination.target_latencies.add(kind.target_latency);
         reindex(event.message, message, now);
         messages_.emplace(event.message, message);
         if (destination.held.size() == 1) activate(event.destination, destination, now);
@@ -204,7 +115,7 @@
     void take(const OutcomeEvent& event, Time now) {
         const auto found = attempts_.find({event.message, event.attempt});
         if (found == attempts_.end()) return;
-        const auto [call_id, key, dropped] = found->second;
+        const auto [call_id, key, cancelled] = found->second;
         attempts_.erase(found);
         if (key) settle_key(*key, event, now);
         Call& call = calls_.at(call_id);
@@ -214,18 +125,19 @@
             now);  // each message of a call may be told its own
         const bool unsent = event.outcome == Outcome::NotSent || event.outcome == Outcome::Withheld;
         if (event.connection_limit_reached) unconnected_[endpoint.kind] = now;  // idle ones are in the way
-        if (!call.judged && !unsent) {
-            call.judged = true;
+        if (!call.outcome_counted && !unsent) {
+            call.outcome_counted = true;
             learn(call, event.outcome, event.report, event.rtt, now);
         }
         const Call ended = call;
-        if (--call.out == 0) {
+        if (--call.open_attempts == 0) {
             --endpoint.in_flight;
             --destinations_.at(endpoint.destination).in_flight;
             const bool lives = event.outcome == Outcome::Delivered || event.outcome == Outcome::ServerError ||
                                event.outcome == Outcome::Rejected || event.outcome == Outcome::Withheld;
             if (lives)
-                endpoint.idle.push_back(now + settings_.connection_idle_limit), freed_.insert(ended.endpoint);
+                endpoint.idle_connections.push_back(now + settings_.connection_idle_limit),
+                    freed_.insert(ended.endpoint);
             calls_.erase(call_id);
         }
         settle(event, ended, now);
@@ -234,8 +146,8 @@
     void take(const RetryAfterEvent& event, Time now) {
         const auto found = endpoints_.find(event.endpoint);
         if (found == endpoints_.end() || event.retry_after <= Time(0)) return;
-        Route& route = route_of(found->second);
-        route.wait_until = std::max(route.wait_until, now + event.retry_after);
+        RateLimiter& limiter = route_of(found->second);
+        limiter.retry_after_until = std::max(limiter.retry_after_until, now + event.retry_after);
     }
 
     // The call is the other process's, its slot and its outcomes are of this one.
@@ -257,7 +169,7 @@
             const bool held = found != messages_.end();
             const auto key = held ? found->second.key : std::nullopt;
             attempts_.emplace(std::pair(id, attempt), Attempt{call_id, key, false});
-            if (held) ++found->second.out, reindex(id, found->second, now);
+            if (held) ++found->second.open_attempts, reindex(id, found->second, now);
             if (key) keys_.begin_attempt(*key);
         }
     }
@@ -296,10 +208,10 @@
     bool may_begin(MessageId id, std::uint32_t number, Time now) const {
         const auto found = messages_.find(id);
         const auto attempt = attempts_.find({id, number});
-        if (found == messages_.end() || attempt == attempts_.end() || attempt->second.dropped) return false;
+        if (found == messages_.end() || attempt == attempts_.end() || attempt->second.cancelled) return false;
         const Message& message = found->second;
-        if (message.deadline <= now || (message.doubt_since && now > resend_until(message))) return false;
-        const EndpointId to = calls_.at(attempt->second.call).endpoint;
+        if (message.deadline <= now || (message.ambiguous_since && now > resend_until(message))) return false;
+        const EndpointId to = calls_.at(attempt->second.call_id).endpoint;
         return endpoints_.at(to).destination == message.destination && takes_calls(to, now);
     }
 
@@ -317,9 +229,9 @@
         keep_room(now);
         queue_.reopen_due(now);
         while (calls_.size() < settings_.max_calls) {
-            const std::optional<Pick> pick = choose(now);
-            if (!pick) break;
-            serve(*pick, now);
+            const std::optional<Selection> selection = choose(now);
+            if (!selection) break;
+            serve(*selection, now);
         }
         close_idle(now);
         set_timer(now);
@@ -360,12 +272,12 @@
         queue_.reopen(entry.destination);
         if (!settings_.listed_rates) return;
         if (entry.agreed_rate_per_s > 0) destination.weight = entry.agreed_rate_per_s;
-        Route& route = apart(endpoint) ? endpoint.own : destination.shared;
-        if (route.known != 0.0 || entry.agreed_rate_per_s <= 0) return;
-        route.known = entry.agreed_rate_per_s;
+        RateLimiter& limiter = apart(endpoint) ? endpoint.own_limiter : destination.shared_limiter;
+        if (limiter.known_limit_per_s != 0.0 || entry.agreed_rate_per_s <= 0) return;
+        limiter.known_limit_per_s = entry.agreed_rate_per_s;
         // as if all had long been sending: one send each at once would be n of them
         const double phase = std::uniform_real_distribution<double>(0.0, others())(random_);
-        route.limit_tag = now - kInitialBurst + from_seconds(phase / limit(route, destination));
+        limiter.limit_tag = now - kInitialBurst + from_seconds(phase / limit(limiter, destination));
     }
 
     Destination& destination_of(DestinationId id) {
@@ -375,14 +287,14 @@
     }
     void belong(Endpoint& endpoint, DestinationId id) {
         endpoint.destination = id;
-        if (destination_of(id).named++ == 0) unnamed_.erase(id);
+        if (destination_of(id).endpoint_count++ == 0) unnamed_.erase(id);
     }
     void leave(const Endpoint& endpoint, EndpointId id) {
         Destination& destination = destinations_.at(endpoint.destination);
         destination.endpoints.erase(id);
         destination.in_flight -= endpoint.in_flight;
         queue_.reopen(endpoint.destination);
-        if (--destination.named == 0) unnamed_.insert(endpoint.destination);
+        if (--destination.endpoint_count == 0) unnamed_.insert(endpoint.destination);
     }
 
     // What nothing names any more is forgotten. An endpoint is named by a list, a call or a doubt; a
@@ -391,8 +303,9 @@
         tidy_at_ = now + kCleanupInterval;
         std::erase_if(gone_, [&](EndpointId id) {
             const Endpoint& endpoint = endpoints_.at(id);  // listed again, its wait and its outage hold still
-            const Time known = std::max(endpoint.own.wait_until,
-                endpoint.health == Health::Well ? kLongAgo : endpoint.heard + kLearnedStateLifetime);
+            const Time known = std::max(endpoint.own_limiter.retry_after_until,
+                endpoint.health == Health::Healthy ? kLongAgo
+                                                   : endpoint.last_outcome_at + kLearnedStateLifetime);
             if (endpoint.in_flight > 0 || doubts_.contains(id) || known > now) return false;
             leave(endpoint, id);
             endpoints_.erase(id);
@@ -402,8 +315,8 @@
         });
         std::erase_if(unnamed_, [&](DestinationId id) {
             const Destination& destination = destinations_.at(id);
-            const Time last = std::max({destination.asked_at, destination.last_served,
-                destination.shared.wait_until, destination.shared.limit_tag});
+            const Time last = std::max({destination.last_arrival_at, destination.last_success_at,
+                destination.shared_limiter.retry_after_until, destination.shared_limiter.limit_tag});
             if (!destination.held.empty() || destination.in_flight > 0 || last + kLearnedStateLifetime > now)
                 return false;
             destinations_.erase(id);
@@ -415,7 +328,7 @@
     // stepped when the last head left; here the arrival time comes in, and P shifts so that all start level.
     void activate(DestinationId id, Destination& newcomer, Time now) {
         newcomer.reservation_tag = std::max(newcomer.reservation_tag, now);
-        newcomer.shared.limit_tag = std::max(newcomer.shared.limit_tag, now);
+        newcomer.shared_limiter.limit_tag = std::max(newcomer.shared_limiter.limit_tag, now);
         queue_.activate(
             id, std::max(newcomer.share_tag, now - from_seconds(kMaxIdleCredit_calls / newcomer.weight)));
     }
@@ -425,8 +338,8 @@
         for (const EndpointId id : destination.endpoints) {
             const Endpoint& endpoint = endpoints_.at(id);
             if (endpoint.condition != Condition::Ready || banned_.contains(id)) continue;
-            Time opens = std::max(now, route_of(endpoint).wait_until);
-            if (endpoint.health != Health::Well) opens = std::max(opens, endpoint.cold_tag);
+            Time opens = std::max(now, route_of(endpoint).retry_after_until);
+            if (endpoint.health != Health::Healthy) opens = std::max(opens, endpoint.recovery_tag);
             if (settings_.reservation_per_s <= 0) opens = std::max(opens, route_of(endpoint).limit_tag);
             until = std::min(until, opens);
         }
@@ -434,15 +347,15 @@
     }
 
     // First the smallest R tag due; else the smallest P tag among destinations whose L tag is due.
-    std::optional<Pick> choose(Time now) {
+    std::optional<Selection> choose(Time now) {
         reserved_ = settings_.reservation_per_s > 0;
         if (reserved_)
-            if (const auto pick = smallest(false, now)) return pick;
+            if (const auto selection = smallest(false, now)) return selection;
         reserved_ = false;
         return smallest(true, now);
     }
-    std::optional<Pick> smallest(bool limited, Time now) {
-        std::optional<Pick> best;
+    std::optional<Selection> smallest(bool limited, Time now) {
+        std::optional<Selection> best;
         Time least = limited ? kNever : now;
         std::vector<std::pair<DestinationId, Time>> closed;
         for (const auto& [share, id] : queue_.open()) {
@@ -455,7 +368,7 @@
             const Time tag = destination.reservation_tag;
             if (!limited && (tag > least || (best && tag == least && id > best->destination))) continue;
             if (!has_room(destination)) continue;
-            if (const auto pick = head(id, destination, now, limited)) best = pick, least = tag;
+            if (const auto selection = head(id, destination, now, limited)) best = selection, least = tag;
         }
         for (const auto& [id, until] : closed) queue_.park(id, until);
         return best;
@@ -489,25 +402,26 @@
         return *sick_calls_;
     }
 
-    void serve(const Pick& pick, Time now) {
-        Destination& destination = destinations_.at(pick.destination);
-        Endpoint& endpoint = endpoints_.at(pick.endpoint);
+    void serve(const Selection& selection, Time now) {
+        Destination& destination = destinations_.at(selection.destination);
+        Endpoint& endpoint = endpoints_.at(selection.endpoint);
         sick_calls_.reset();
         const std::uint64_t call_id = ++call_count_;
-        calls_.emplace(call_id, Call{pick.endpoint, now});
+        calls_.emplace(call_id, Call{selection.endpoint, now});
         ++endpoint.in_flight;
         ++destination.in_flight;
         take_connection(endpoint, now);
-        endpoint.often = now - std::exchange(endpoint.used, now) < settings_.connection_idle_limit;
-        send(pick.message, pick.endpoint, call_id, now);
-        fill_call(destination, pick.endpoint, call_id, now);
+        endpoint.frequently_used =
+            now - std::exchange(endpoint.last_sent_at, now) < settings_.connection_idle_limit;
+        send(selection.message, selection.endpoint, call_id, now);
+        fill_call(destination, selection.endpoint, call_id, now);
         step_tags(destination, endpoint, now);
     }
 
     void step_tags(Destination& destination, Endpoint& endpoint, Time now) {
-        Route& route = route_of(endpoint);
-        route.limit_tag = std::max(route.limit_tag + limit_gap(route, destination), now);
-        if (endpoint.health != Health::Well) spend_budget(endpoint, now);
+        RateLimiter& limiter = route_of(endpoint);
+        limiter.limit_tag = std::max(limiter.limit_tag + limit_gap(limiter, destination), now);
+        if (endpoint.health != Health::Healthy) spend_budget(endpoint, now);
         const double w = destination.weight;
         const Time share = queue_.tag(endpoint.destination) + gap_of(w);
         queue_.set_tag(endpoint.destination, std::max(share, now - from_seconds(kMaxIdleCredit_calls / w)));
@@ -521,11 +435,12 @@
         Message& message = messages_.at(id);
         attempts_.emplace(std::pair(id, message.attempts), Attempt{call_id, message.key, false});
         ++message.attempts;
-        ++message.out;
-        ++calls_.at(call_id).out;
+        ++message.open_attempts;
+        ++calls_.at(call_id).open_attempts;
         reindex(id, message, now);
         if (message.key) keys_.begin_attempt(*message.key);
-        const bool bound = message.doubt_since && message.terms->delivery == DeliverySemantics::Deduplicated;
+        const bool bound =
+            message.ambiguous_since && message.class_settings->delivery == DeliverySemantics::Deduplicated;
         const auto within = bound ? std::optional(resend_until(message) - now) : std::nullopt;
         actions_.emplace_back(Send{id, to, time_out(message, now), within});
     }
@@ -533,9 +448,9 @@
     // Where a call may carry several messages, the next ones in order travel along.
     void fill_call(Destination& destination, EndpointId to, std::uint64_t call_id, Time now) {
         const std::size_t most = settings_.kinds[endpoints_.at(to).kind].max_messages_per_call;
-        if (most < 2 || endpoints_.at(to).health == Health::Sick) return;
+        if (most < 2 || endpoints_.at(to).health == Health::Unhealthy) return;
         for (const auto& [arrival, id] : destination.held) {
-            if (calls_.at(call_id).out >= most) return;
+            if (calls_.at(call_id).open_attempts >= most) return;
             const Message& message = messages_.at(id);
             if (ready(id, message, now) && may_go(message, to, now)) send(id, to, call_id, now);
         }
@@ -543,10 +458,10 @@
 
     // The first message in arrival order that may be sent, with an endpoint for it. While the backlog is
     // longer than the aim of a held message, the one goes that loses most worth by waiting the backlog out.
-    std::optional<Pick> head(DestinationId id, const Destination& destination, Time now, bool limited) {
+    std::optional<Selection> head(DestinationId id, const Destination& destination, Time now, bool limited) {
         if (!any_open(destination, now, limited)) return std::nullopt;
         const Time backlog = backlog_of(destination, now);
-        std::optional<Pick> best;
+        std::optional<Selection> best;
         double most = 0.0;
         for (const auto& [arrival, message_id] : destination.held) {
             const Message& message = messages_.at(message_id);
@@ -556,7 +471,7 @@
             if (best && loss <= most) continue;
             const auto endpoint = endpoint_for(destination, message, now, limited);
             if (!endpoint) continue;
-            best = Pick{id, message_id, *endpoint}, most = loss;
+            best = Selection{id, message_id, *endpoint}, most = loss;
             if (backlog == Time(0)) break;
         }
         return best;
@@ -572,8 +487,8 @@
     }
     // How long the held messages take to go out, where that is longer than the aim of one of them; else 0.
     Time backlog_of(const Destination& destination, Time now) const {
-        if (destination.served_rate <= 0) return Time(0);  // nothing is known yet: the ordinary path
-        const Time shortest = destination.aims.least(kNever);
+        if (destination.success_rate_per_s <= 0) return Time(0);  // nothing is known yet: the ordinary path
+        const Time shortest = destination.target_latencies.least(kNever);
         const double held = static_cast<double>(destination.held.size()) - destination.in_flight;
         const Time backlog = from_seconds(std::max(0.0, held) / drain_rate(destination, now));
         return backlog > shortest ? backlog : Time(0);
@@ -581,17 +496,17 @@
 
     // Not out, its pause over, its key's turn, and inside its window if it may have run.
     bool ready(MessageId id, const Message& message, Time now) const {
-        if (message.out > 0 || message.not_before > now || message.deadline <= now) return false;
+        if (message.open_attempts > 0 || message.not_before > now || message.deadline <= now) return false;
         if (message.attempts >= settings_.max_attempts) return false;
-        if (message.doubt_since && now > resend_until(message)) return false;
+        if (message.ambiguous_since && now > resend_until(message)) return false;
         return !message.key || keys_.turn_of(*message.key, id, kNever) <= now;
     }
 
     Time resend_until(const Message& message) const {
-        const ClassSettings& kind = *message.terms;
+        const ClassSettings& kind = *message.class_settings;
         if (kind.delivery == DeliverySemantics::Retryable) return kNever;
         if (kind.delivery == DeliverySemantics::AtMostOnce) return kLongAgo;
-        return *message.doubt_since + kind.dedup_window - kDedupWindowMargin;
+        return *message.ambiguous_since + kind.dedup_window - kDedupWindowMargin;
     }
 
     std::optional<EndpointId> endpoint_for(
@@ -615,7 +530,7 @@
             cost += kZoneCostPoint_calls * settings_.zone_costs[endpoint.zone];
         else if (settings_.zone && endpoint.zone != *settings_.zone)
             cost += kOtherZoneCost_calls;
-        if (endpoint.health != Health::Well) cost += 1.0;
+        if (endpoint.health != Health::Healthy) cost += 1.0;
         return cost;
     }
 
@@ -623,45 +538,48 @@
     bool takes_calls(EndpointId id, Time now) const {
         const Endpoint& endpoint = endpoints_.at(id);
         return endpoint.condition == Condition::Ready && !banned_.contains(id) &&
-               route_of(endpoint).wait_until <= now;
+               route_of(endpoint).retry_after_until <= now;
     }
     // And its fall-back budget not spent.
     bool open(EndpointId id, Time now) const {
         const Endpoint& endpoint = endpoints_.at(id);
-        return takes_calls(id, now) && (endpoint.health == Health::Well || endpoint.cold_tag <= now);
+        return takes_calls(id, now) && (endpoint.health == Health::Healthy || endpoint.recovery_tag <= now);
     }
 
     // One with a key may have to wait for a fragile one before it.
     static bool brings_news(const Message& message) {
-        return message.terms->delivery != DeliverySemantics::AtMostOnce && !message.key;
+        return message.class_settings->delivery != DeliverySemantics::AtMostOnce && !message.key;
     }
     // An endpoint that fails is probed with fragile messages only where no other message can bring news: one
     // at a time, at the pace of the fall-back budget. Each call that hangs doubles the pause before the next.
     bool may_probe(const Endpoint& endpoint, Time now) const {
         const Destination& destination = destinations_.at(endpoint.destination);
-        if (destination.repeatable > 0) return false;
+        if (destination.safe_probes > 0) return false;
         if (endpoint.in_flight == 0) return true;
         const int doublings = std::min(endpoint.in_flight - 1, kMaxProbePauseDoublings);
-        return now >= endpoint.used + patience(destination) * (1 << doublings);
+        return now >= endpoint.last_sent_at + patience(destination) * (1 << doublings);
     }
     // Fragile messages keep away from endpoints that fail; dedup resends keep to the scope of the first.
     bool may_go(const Message& message, EndpointId to, Time now) const {
-        const ClassSettings& kind = *message.terms;
+        const ClassSettings& kind = *message.class_settings;
         const Endpoint& endpoint = endpoints_.at(to);
-        const bool fails = endpoint.failing > kMaxAtMostOnceFailureShare || endpoint.health == Health::Sick;
+        const bool fails =
+            endpoint.failure_share > kMaxAtMostOnceFailureShare || endpoint.health == Health::Unhealthy;
         if (kind.delivery == DeliverySemantics::AtMostOnce && fails && !may_probe(endpoint, now))
             return false;
-        if (kind.delivery != DeliverySemantics::Deduplicated || !message.doubt_since ||
+        if (kind.delivery != DeliverySemantics::Deduplicated || !message.ambiguous_since ||
             kind.dedup_scope == DedupScope::All)
             return true;
-        if (kind.dedup_scope == DedupScope::Endpoint) return message.doubt_at == to;
-        const auto first = message.doubt_at ? endpoints_.find(*message.doubt_at) : endpoints_.end();
+        if (kind.dedup_scope == DedupScope::Endpoint) return message.ambiguous_endpoint == to;
+        const auto first =
+            message.ambiguous_endpoint ? endpoints_.find(*message.ambiguous_endpoint) : endpoints_.end();
         return first != endpoints_.end() && first->second.zone == endpoint.zone;
     }
 
     // Calls that can be dropped later, and those that may not be repeated, are waited for to the end.
     Time time_out(const Message& message, Time now) const {
-        const bool wait = settings_.can_cancel || message.terms->delivery == DeliverySemantics::AtMostOnce;
+        const bool wait =
+            settings_.can_cancel || message.class_settings->delivery == DeliverySemantics::AtMostOnce;
         const Time left = message.deadline - now;
         return wait ? left : std::min(left, patience(destinations_.at(message.destination)));
     }
@@ -691,212 +609,221 @@
         const bool scarce = jammed || sick_calls() + 1 > kMaxDegradedCallShare * slots;
         std::map<EndpointId, std::pair<std::uint64_t, Time>> oldest_newest;  // calls are numbered by age
         for (const auto& [id, call] : calls_)
-            oldest_newest.try_emplace(call.endpoint, id, call.sent).first->second.second = call.sent;
+            oldest_newest.try_emplace(call.endpoint, id, call.sent_at).first->second.second = call.sent_at;
         for (auto& [name, attempt] : attempts_) {
-            const Call& call = calls_.at(attempt.call);
+            const Call& call = calls_.at(attempt.call_id);
             const auto found = messages_.find(name.first);
-            if (attempt.dropped || found == messages_.end()) continue;
+            if (attempt.cancelled || found == messages_.end()) continue;
             const Endpoint& endpoint = endpoints_.at(call.endpoint);
             const Destination& destination = destinations_.at(endpoint.destination);
             const bool passed = jammed && call.overtaken;
             const Time longest = passed ? short_patience(destination) : patience(destination);
-            if (now - call.sent < longest) continue;
+            if (now - call.sent_at < longest) continue;
             const auto& [oldest, newest] = oldest_newest.at(call.endpoint);
-            const bool silent = scarce && endpoint.health != Health::Well;
-            const bool for_probe = silent && oldest == attempt.call && now - newest >= longest;
+            const bool silent = scarce && endpoint.health != Health::Healthy;
+            const bool for_probe = silent && oldest == attempt.call_id && now - newest >= longest;
             if (!jammed && !for_probe && !may_repeat(found->second, call, now)) continue;
-            const bool lost = endpoint.last_good > call.sent + longest;
+            const bool lost = endpoint.last_success_at > call.sent_at + longest;
             if (!passed && !lost && !silent) continue;
-            attempt.dropped = true;
+            attempt.cancelled = true;
             actions_.emplace_back(CancelAttempt{name.first, name.second});
         }
     }
     bool may_repeat(const Message& message, const Call& call, Time now) const {
-        const ClassSettings& kind = *message.terms;
+        const ClassSettings& kind = *message.class_settings;
         if (message.attempts >= settings_.max_attempts || kind.delivery == DeliverySemantics::AtMostOnce)
             return false;
         if (kind.delivery == DeliverySemantics::Retryable) return true;
         return now + kCancelAndRepeatTime <
-               std::min(call.sent, message.doubt_since.value_or(call.sent)) + kind.dedup_window;
+               std::min(call.sent_at, message.ambiguous_since.value_or(call.sent_at)) + kind.dedup_window;
     }
 
     // The connection used last is taken first; the freshest closes last.
     static bool has_idle(const Endpoint& endpoint, Time now) {
-        return !endpoint.idle.empty() && endpoint.idle.back() > now;
+        return !endpoint.idle_connections.empty() && endpoint.idle_connections.back() > now;
     }
     static void take_connection(Endpoint& endpoint, Time now) {
-        if (has_idle(endpoint, now)) return endpoint.idle.pop_back();
-        endpoint.idle.clear();
+        if (has_idle(endpoint, now)) return endpoint.idle_connections.pop_back();
+        endpoint.idle_connections.clear();
     }
     // Idle connections count against an endpoint's allowance: they are closed where they would seldom be used
     // or connects were refused by one that lives.
     void close_idle(Time now) {
         for (const EndpointId id : std::exchange(freed_, {})) {
             Endpoint& endpoint = endpoints_.at(id);
-            if (endpoint.idle.empty() ||
-                (endpoint.often && now - unconnected_[endpoint.kind] > kRefusedConnectMemory))
+            if (endpoint.idle_connections.empty() ||
+                (endpoint.frequently_used && now - unconnected_[endpoint.kind] > kRefusedConnectMemory))
                 continue;
-            endpoint.idle.clear();
+            endpoint.idle_connections.clear();
             actions_.emplace_back(CloseIdle{id});
         }
     }
 
     bool apart(const Endpoint& endpoint) const { return settings_.kinds[endpoint.kind].limits_per_endpoint; }
-    Route& route_of(Endpoint& endpoint) {
-        return apart(endpoint) ? endpoint.own : destinations_.at(endpoint.destination).shared;
+    RateLimiter& route_of(Endpoint& endpoint) {
+        return apart(endpoint) ? endpoint.own_limiter : destinations_.at(endpoint.destination).shared_limiter;
     }
-    const Route& route_of(const Endpoint& endpoint) const {
-        return apart(endpoint) ? endpoint.own : destinations_.at(endpoint.destination).shared;
+    const RateLimiter& route_of(const Endpoint& endpoint) const {
+        return apart(endpoint) ? endpoint.own_limiter : destinations_.at(endpoint.destination).shared_limiter;
     }
 
     // l: an even part of the limit times what was learned. Without a known limit it is unbounded (0) until
     // the first refusal, and what the destination is seen to take stands for it.
-    double limit(const Route& route, const Destination& destination) const {
-        if (route.gain == 0.0) return route.known / senders() * start_gain();
-        return capacity(route, destination) / senders() * route.gain;
+    double limit(const RateLimiter& limiter, const Destination& destination) const {
+        if (limiter.share == 0.0) return limiter.known_limit_per_s / senders() * start_gain();
+        return capacity(limiter, destination) / senders() * limiter.share;
     }
     double start_gain() const { return std::min(most_gain(), 1.0 + kInitialExtraFairShares / senders()); }
     double most_gain() const { return std::min(senders(), kMaxFairShares); }
     // Without a known limit it stands for what was served, which must be able to rise, also where one sends.
-    double most_gain(const Route& route) const { return route.known > 0 ? most_gain() : kMaxFairShares; }
+    double most_gain(const RateLimiter& limiter) const {
+        return limiter.known_limit_per_s > 0 ? most_gain() : kMaxFairShares;
+    }
     double steps_base() const { return std::max(2.0, senders()); }
-    double regain_time(const Route& route) const {
-        return seconds(kShareDoublingTime) * std::max(1, route.refusals);
+    double regain_time(const RateLimiter& limiter) const {
+        return seconds(kShareDoublingTime) * std::max(1, limiter.refusals);
     }
     // 1/l, or the time in which a lowered l that doubles every kShareDoublingTime allows one send, up to what
     // it returns to.
-    Time limit_gap(const Route& route, const Destination& destination) const {
-        const double l = limit(route, destination);
-        if (l <= 0 || route.gain == 0.0 || route.gain >= route.ceiling) return gap_of(l);
-        const double doubling = regain_time(route);
+    Time limit_gap(const RateLimiter& limiter, const Destination& destination) const {
+        const double l = limit(limiter, destination);
+        if (l <= 0 || limiter.share == 0.0 || limiter.share >= limiter.share_ceiling) return gap_of(l);
+        const double doubling = regain_time(limiter);
         const double rising = doubling * std::log2(1.0 + std::log(2.0) / (doubling * l));
-        return std::max(gap_of(l / route.gain * route.ceiling), from_seconds(rising));
+        return std::max(gap_of(l / limiter.share * limiter.share_ceiling), from_seconds(rising));
     }
-    double capacity(const Route& route, const Destination& destination) const {
-        if (route.known > 0) return route.known;
-        return std::max(kMinCapacity_per_s, destination.taken_rate * senders());
+    double capacity(const RateLimiter& limiter, const Destination& destination) const {
+        if (limiter.known_limit_per_s > 0) return limiter.known_limit_per_s;
+        return std::max(kMinCapacity_per_s, destination.peak_success_rate_per_s * senders());
     }
     double others() const { return 1.0 - 1.0 / senders(); }  // share of the senders that are not this one
     double senders() const { return static_cast<double>(settings_.instance_count); }
     double usual(const Destination& destination) const {
-        const double known = destination.usual > 0 ? destination.usual : overall_usual_;
+        const double known =
+            destination.typical_latency_s > 0 ? destination.typical_latency_s : overall_usual_;
         return std::max(known > 0 ? known : seconds(kInitialTypicalLatency), seconds(kMinTypicalLatency));
     }
 
     void learn(
         const Call& call, Outcome outcome, const std::optional<LoadReport>& report, Time rtt, Time now) {
         const EndpointId id = call.endpoint;
-        const Time sent = call.sent;
+        const Time sent = call.sent_at;
         Endpoint& endpoint = endpoints_.at(id);
-        Route& route = route_of(endpoint);
-        if (report && report->limit_per_s > 0) route.known = report->limit_per_s;
+        RateLimiter& limiter = route_of(endpoint);
+        if (report && report->limit_per_s > 0) limiter.known_limit_per_s = report->limit_per_s;
         if (outcome == Outcome::Cancelled) return;  // our own doing: it says nothing new of the endpoint
-        if (outcome == Outcome::ConnectionLost) endpoint.lost_at = now;
+        if (outcome == Outcome::ConnectionLost) endpoint.connection_lost_at = now;
         if (outcome == Outcome::MalformedResponse || outcome == Outcome::ConnectionLost)
             return spoil(endpoint, now);
         if (outcome == Outcome::Delivered) {
             // it lives, and refused a connect while this call was out: its connections are used up
-            if (sent < endpoint.unconnected_at) unconnected_[endpoint.kind] = now;
+            if (sent < endpoint.connect_refused_at) unconnected_[endpoint.kind] = now;
             for (auto& [other_id, other] : calls_)
-                if (other.endpoint == id && other.sent < sent) other.overtaken = true;
+                if (other.endpoint == id && other.sent_at < sent) other.overtaken = true;
             return succeed(id, report ? report->remaining_share : 0.0, rtt, now);
         }
         const bool shut = outcome == Outcome::Rejected &&
-                          (route.wait_until > now + kMaxRateLimitWait ||
+                          (limiter.retry_after_until > now + kMaxRateLimitWait ||
                               (report && report->remaining_share > kMaxRemainingShareAtLimit));
         // what is shut or sick refuses for another reason than its limit
-        if (outcome == Outcome::Rejected && !shut && endpoint.health != Health::Sick)
-            lower_limit(route, endpoint, now);
+        if (outcome == Outcome::Rejected && !shut && endpoint.health != Health::Unhealthy)
+            lower_limit(limiter, endpoint, now);
         const bool no_room = outcome == Outcome::ConnectFailed && now - sent < kMaxRefusedConnectTime;
-        if (no_room) endpoint.unconnected_at = now;
+        if (no_room) endpoint.connect_refused_at = now;
         // calls that broke off, then a refused connect: the process died
-        const bool died = no_room && endpoint.lost_at > endpoint.last_good;
-        if (died) endpoint.failing = 1.0;
+        const bool died = no_room && endpoint.connection_lost_at > endpoint.last_success_at;
+        if (died) endpoint.failure_share = 1.0;
         if (!died && ((outcome == Outcome::Rejected && !shut) || no_room)) {
             if (report && report->limit_per_s > 0) return;  // its limit is used up: no outage
             // refusals of calls sent before the last one was known are the same piece of news
-            if (sent <= endpoint.refused_at) return;
-            endpoint.refused_at = now;
-            if (++endpoint.refused_row < kClosedAfterRefusals) return;
-            if (outcome == Outcome::Rejected) forget_refusals(route, now);
+            if (sent <= endpoint.last_refusal_at) return;
+            endpoint.last_refusal_at = now;
+            if (++endpoint.refusals_in_row < kClosedAfterRefusals) return;
+            if (outcome == Outcome::Rejected) forget_refusals(limiter, now);
         }
-        endpoint.failing += news(endpoint, now) * (1.0 - endpoint.failing);
+        endpoint.failure_share += news(endpoint, now) * (1.0 - endpoint.failure_share);
         endpoint.failure_seen = true;
-        if (route.wait_until >
+        if (limiter.retry_after_until >
             now + kMaxRateLimitWait)  // a told opening holds for all endpoints that share the wait
             for (const EndpointId other : destinations_.at(endpoint.destination).endpoints)
-                if (&route_of(endpoints_.at(other)) == &route) fall_sick(endpoints_.at(other), now);
-        if (endpoint.health == Health::Returning || endpoint.failing > kMaxHealthyFailureShare)
+                if (&route_of(endpoints_.at(other)) == &limiter) fall_sick(endpoints_.at(other), now);
+        if (endpoint.health == Health::Recovering || endpoint.failure_share > kMaxHealthyFailureShare)
             fall_sick(endpoint, now);
     }
 
     // It took the call and answered: no sign of an outage, unless hardly any other answer comes.
     void spoil(Endpoint& endpoint, Time now) {
-        endpoint.failing += kMalformedResponseWeight * (1.0 - endpoint.failing);
-        endpoint.heard = now;
-        if (endpoint.failing <= kMaxHealthyFailureShare || endpoint.health != Health::Well) return;
+        endpoint.failure_share += kMalformedResponseWeight * (1.0 - endpoint.failure_share);
+        endpoint.last_outcome_at = now;
+        if (endpoint.failure_share <= kMaxHealthyFailureShare || endpoint.health != Health::Healthy) return;
         endpoint.failure_seen = true;
         fall_sick(endpoint, now);
     }
 
     // How much the newest outcome weighs in the share of failures: more where the ones before are old.
     double news(Endpoint& endpoint, Time now) {
-        const double age = seconds(now - std::exchange(endpoint.heard, now));
+        const double age = seconds(now - std::exchange(endpoint.last_outcome_at, now));
         return std::max(kMinOutcomeWeight, 1.0 - std::exp(-age / kOutcomeMemory_s));
     }
 
-    void lower_limit(Route& route, const Endpoint& endpoint, Time now) {
+    void lower_limit(RateLimiter& limiter, const Endpoint& endpoint, Time now) {
         const Destination& destination = destinations_.at(endpoint.destination);
-        regain(route, now);
-        if (route.refusals == 0) route.gain_before = route.gain, route.ceiling_before = route.ceiling;
-        const double before = route.gain > 0 ? route.gain : start_gain();
+        regain(limiter, now);
+        if (limiter.refusals == 0)
+            limiter.share_before_refusals = limiter.share,
+            limiter.ceiling_before_refusals = limiter.share_ceiling;
+        const double before = limiter.share > 0 ? limiter.share : start_gain();
         const double fall =
-            std::max(kMinRefusalFactor, std::pow(steps_base(), kRefusalExponent * ++route.refusals));
-        route.ceiling = kCeilingPerRefusedShare * before;
-        route.gain = std::max(std::pow(steps_base(), kMinShareExponent), before * fall);
+            std::max(kMinRefusalFactor, std::pow(steps_base(), kRefusalExponent * ++limiter.refusals));
+        limiter.share_ceiling = kCeilingPerRefusedShare * before;
+        limiter.share = std::max(std::pow(steps_base(), kMinShareExponent), before * fall);
         if ((apart(endpoint) ? endpoint.in_flight : destination.in_flight) > 1) return;
         const double spread = std::uniform_real_distribution<double>(0.5, 1.5)(random_);
-        const double gap = seconds(limit_gap(route, destination));
-        const Time from = senders() > 1 ? std::max(now, route.wait_until) : now;  // all are told the same end
-        route.limit_tag = std::max(route.limit_tag, from + from_seconds(spread * gap));
+        const double gap = seconds(limit_gap(limiter, destination));
+        const Time from =
+            senders() > 1 ? std::max(now, limiter.retry_after_until) : now;  // all are told the same end
+        limiter.limit_tag = std::max(limiter.limit_tag, from + from_seconds(spread * gap));
     }
     // They came of an outage.
-    static void forget_refusals(Route& route, Time now) {
-        if (route.refusals == 0) return;
-        route.gain = route.gain_before, route.ceiling = route.ceiling_before, route.refusals = 0;
-        route.limit_tag = std::min(route.limit_tag, now);
-    }
-    void regain(Route& route, Time now) {
-        const double since = std::min(100.0, seconds(now - std::exchange(route.learned_at, now)));
-        if (route.gain == 0.0) return;
-        if (route.gain < route.ceiling)
-            route.gain = std::min(route.ceiling, route.gain * std::exp2(since / regain_time(route)));
-        else if (route.gain < 1.0)
-            route.gain =
-                std::min(1.0, route.gain * std::exp2(since / seconds(kShareDoublingTimeAboveCeiling)));
+    static void forget_refusals(RateLimiter& limiter, Time now) {
+        if (limiter.refusals == 0) return;
+        limiter.share = limiter.share_before_refusals,
+        limiter.share_ceiling = limiter.ceiling_before_refusals, limiter.refusals = 0;
+        limiter.limit_tag = std::min(limiter.limit_tag, now);
+    }
+    void regain(RateLimiter& limiter, Time now) {
+        const double since = std::min(100.0, seconds(now - std::exchange(limiter.share_changed_at, now)));
+        if (limiter.share == 0.0) return;
+        if (limiter.share < limiter.share_ceiling)
+            limiter.share =
+                std::min(limiter.share_ceiling, limiter.share * std::exp2(since / regain_time(limiter)));
+        else if (limiter.share < 1.0)
+            limiter.share =
+                std::min(1.0, limiter.share * std::exp2(since / seconds(kShareDoublingTimeAboveCeiling)));
     }
 
     void succeed(EndpointId id, double left, Time rtt, Time now) {
         Endpoint& endpoint = endpoints_.at(id);
         Destination& destination = destinations_.at(endpoint.destination);
-        Route& route = route_of(endpoint);
-        regain(route, now);
-        route.gain = std::min(most_gain(route),
-            route.gain * kSuccessFactor * std::pow(senders(), left * kRemainingShareExponent));
-        route.refusals = 0;
+        RateLimiter& limiter = route_of(endpoint);
+        regain(limiter, now);
+        limiter.share = std::min(most_gain(limiter),
+            limiter.share * kSuccessFactor * std::pow(senders(), left * kRemainingShareExponent));
+        limiter.refusals = 0;
         if (rtt > Time(0)) {
-            blend_usual(destination.usual, seconds(rtt));
+            blend_usual(destination.typical_latency_s, seconds(rtt));
             blend_usual(overall_usual_, seconds(rtt));
         }
-        if (destination.served_rate <= 0) destination.first_served = now;
-        destination.served_rate = faded_rate(destination, now) + 1.0 / kSuccessRateMemory_s;
-        destination.taken_rate *=
-            std::exp(-seconds(now - destination.last_served) / seconds(kLearnedStateLifetime));
-        destination.taken_rate = std::max(destination.taken_rate, destination.served_rate);
-        destination.last_served = now;
-        endpoint.failing *= 1.0 - news(endpoint, now);
-        endpoint.refused_row = 0;
-        endpoint.last_good = now;
+        if (destination.success_rate_per_s <= 0) destination.first_success_at = now;
+        destination.success_rate_per_s = faded_rate(destination, now) + 1.0 / kSuccessRateMemory_s;
+        destination.peak_success_rate_per_s *=
+            std::exp(-seconds(now - destination.last_success_at) / seconds(kLearnedStateLifetime));
+        destination.peak_success_rate_per_s =
+            std::max(destination.peak_success_rate_per_s, destination.success_rate_per_s);
+        destination.last_success_at = now;
+        endpoint.failure_share *= 1.0 - news(endpoint, now);
+        endpoint.refusals_in_row = 0;
+        endpoint.last_success_at = now;
         recover(endpoint, now);
     }
 
@@ -907,35 +834,38 @@
     }
 
     void fall_sick(Endpoint& endpoint, Time now) {
-        if (endpoint.health == Health::Well) endpoint.knowing = 0.0;
-        if (endpoint.health == Health::Well || endpoint.last_good > endpoint.fell) endpoint.fell = now;
-        endpoint.health = Health::Sick;
-        if (const Time opening = route_of(endpoint).wait_until; opening > now + kMaxRateLimitWait) {
-            endpoint.health = Health::Returning;
-            endpoint.returned = endpoint.cold_tag = opening;
+        if (endpoint.health == Health::Healthy) endpoint.informed_share = 0.0;
+        if (endpoint.health == Health::Healthy || endpoint.last_success_at > endpoint.unhealthy_since)
+            endpoint.unhealthy_since = now;
+        endpoint.health = Health::Unhealthy;
+        if (const Time opening = route_of(endpoint).retry_after_until; opening > now + kMaxRateLimitWait) {
+            endpoint.health = Health::Recovering;
+            endpoint.recovering_since = endpoint.recovery_tag = opening;
         }
         spend_budget(endpoint, now);
     }
 
     void return_cold(Endpoint& endpoint, Time now) {
-        endpoint.health = Health::Returning;
+        endpoint.health = Health::Recovering;
         endpoint.failure_seen = true;
-        endpoint.failing = 0.0;
-        endpoint.refused_row = 0;
-        endpoint.last_good = kLongAgo;
-        endpoint.fell = endpoint.heard = endpoint.returned = endpoint.cold_tag = now;
+        endpoint.failure_share = 0.0;
+        endpoint.refusals_in_row = 0;
+        endpoint.last_success_at = kLongAgo;
+        endpoint.unhealthy_since = endpoint.last_outcome_at = endpoint.recovering_since =
+            endpoint.recovery_tag = now;
         spend_budget(endpoint, now);
     }
 
     // Silence alone, ended by a success before any failure was seen, was no outage. After one, slow start.
     void recover(Endpoint& endpoint, Time now) {
-        if (endpoint.health == Health::Sick) {
-            endpoint.health = endpoint.failure_seen ? Health::Returning : Health::Well;
-            endpoint.returned = now;
+        if (endpoint.health == Health::Unhealthy) {
+            endpoint.health = endpoint.failure_seen ? Health::Recovering : Health::Healthy;
+            endpoint.recovering_since = now;
         }
-        if (endpoint.health == Health::Returning && now - endpoint.returned >= settings_.warm_up_time)
-            endpoint.health = Health::Well;
-        if (endpoint.health == Health::Well) endpoint.failure_seen = false;
+        if (endpoint.health == Health::Recovering &&
+            now - endpoint.recovering_since >= settings_.warm_up_time)
+            endpoint.health = Health::Healthy;
+        if (endpoint.health == Health::Healthy) endpoint.failure_seen = false;
     }
 
     // The fall-back budget as a limit tag: own part of multiple x present capacity, which rises evenly from
@@ -943,27 +873,28 @@
     void spend_budget(Endpoint& endpoint, Time now) {
         const Destination& destination = destinations_.at(endpoint.destination);
         double present = capacity(route_of(endpoint), destination);
-        if (route_of(endpoint).known <= 0) present *= kEstimatedCapacityUse;
+        if (route_of(endpoint).known_limit_per_s <= 0) present *= kEstimatedCapacityUse;
         if (!apart(endpoint))
             present /= static_cast<double>(std::max<std::size_t>(1, destination.endpoints.size()));
-        const Time from = std::max(endpoint.cold_tag, now);
+        const Time from = std::max(endpoint.recovery_tag, now);
         // only senders that called since it went out know of the outage; once it is back no more learn of it
-        if (endpoint.last_good <= endpoint.fell) {
-            const Time out = from - (endpoint.last_good + endpoint.fell) / 2;
-            const double told = 1.0 - std::exp(-destination.asked * seconds(out));
-            endpoint.knowing = std::max({kMinInformedShare, endpoint.knowing, told});
+        if (endpoint.last_success_at <= endpoint.unhealthy_since) {
+            const Time out = from - (endpoint.last_success_at + endpoint.unhealthy_since) / 2;
+            const double told = 1.0 - std::exp(-destination.arrival_rate_per_s * seconds(out));
+            endpoint.informed_share = std::max({kMinInformedShare, endpoint.informed_share, told});
         }
         const double rate = kRecoveryBudgetUse * settings_.overload_multiple * settings_.cold_capacity_share *
-                            present / (senders() * endpoint.knowing);
-        const bool answers = endpoint.health == Health::Returning && endpoint.last_good > endpoint.fell;
+                            present / (senders() * endpoint.informed_share);
+        const bool answers =
+            endpoint.health == Health::Recovering && endpoint.last_success_at > endpoint.unhealthy_since;
         const double longest =
             answers ? 1e6 : seconds(settings_.overload_window) * senders() / kMinProbesPerOverloadWindow;
         const double step =
             std::uniform_real_distribution<double>(0.5, 1.5)(random_) * std::min(1.0 / rate, longest);
         // not heard of for a warm-up and a half: it may well be back
-        const Time back = endpoint.health == Health::Returning
-                              ? endpoint.returned
-                              : endpoint.heard + 3 * settings_.warm_up_time / 2;
+        const Time back = endpoint.health == Health::Recovering
+                              ? endpoint.recovering_since
+                              : endpoint.last_outcome_at + 3 * settings_.warm_up_time / 2;
         double gap = step;
         if (const double warm = seconds(settings_.warm_up_time);
             warm > 0 && settings_.cold_capacity_share < 1) {
@@ -974,7 +905,7 @@
             gap = flat + (std::sqrt(1.0 + 2.0 * rise * due) - 1.0) / rise - since;
         }
         const Time least = answers ? kMinRecoveringGap : paced(kMinProbeGap, kMinProbeGapTypicalLatencies);
-        endpoint.cold_tag = from + std::max(least, from_seconds(gap));
+        endpoint.recovery_tag = from + std::max(least, from_seconds(gap));
     }
 
     // Waiting summed over the calls out since the last success, in usual times.
@@ -983,23 +914,23 @@
         for (const auto& [id, call] : calls_) {
             const Endpoint& endpoint = endpoints_.at(call.endpoint);
             if (call.overtaken) continue;  // it hangs alone
-            waiting[call.endpoint] += seconds(now - std::max(call.sent, endpoint.last_good)) /
+            waiting[call.endpoint] += seconds(now - std::max(call.sent_at, endpoint.last_success_at)) /
                                       usual(destinations_.at(endpoint.destination));
         }
         for (const auto& [id, sum] : waiting) {
             Endpoint& endpoint = endpoints_.at(id);
-            if (sum > kMaxSilenceTypicalLatencies && endpoint.health == Health::Well)
+            if (sum > kMaxSilenceTypicalLatencies && endpoint.health == Health::Healthy)
                 fall_sick(endpoint, now);
         }
     }
 
     bool ailing(const Endpoint& endpoint, const Destination& destination) const {
-        return apart(endpoint) ? endpoint.health != Health::Well : ailing(destination);
+        return apart(endpoint) ? endpoint.health != Health::Healthy : ailing(destination);
     }
     // Failing or slow: an endpoint is not well (silent, failing, or warming up).
     bool ailing(const Destination& destination) const {
         return std::any_of(destination.endpoints.begin(), destination.endpoints.end(),
-            [this](EndpointId id) { return endpoints_.at(id).health != Health::Well; });
+            [this](EndpointId id) { return endpoints_.at(id).health != Health::Healthy; });
     }
 
     void settle(const OutcomeEvent& event, const Call& call, Time now) {
@@ -1009,13 +940,13 @@
         const auto found = messages_.find(event.message);
         if (found == messages_.end()) return;
         Message& message = found->second;
-        --message.out;
+        --message.open_attempts;
         if (event.terminal || event.outcome == Outcome::Delivered) return forget(event.message, now);
         if (event.outcome == Outcome::Withheld) --message.attempts;
         message.not_before =
             now + (event.outcome == Outcome::Withheld ? kInitialRetryPause : pause_after(message, now));
-        if (!never_ran && (!message.doubt_since || call.sent < *message.doubt_since)) {
-            message.doubt_since = call.sent;
+        if (!never_ran && (!message.ambiguous_since || call.sent_at < *message.ambiguous_since)) {
+            message.ambiguous_since = call.sent_at;
             doubt_at(message, call.endpoint);
         }
         reindex(event.message, message, now);
@@ -1046,24 +977,25 @@
     }
     void reindex(MessageId id, const Message& message, Time now) {
         ends_.set(id, ends_at(message));
-        message.out == 0 && message.not_before > now ? pauses_.set(id, message.not_before)
-                                                     : pauses_.erase(id);
+        message.open_attempts == 0 && message.not_before > now ? pauses_.set(id, message.not_before)
+                                                               : pauses_.erase(id);
     }
     void doubt_at(Message& message, std::optional<EndpointId> endpoint) {
-        if (message.doubt_at && --doubts_.at(*message.doubt_at) == 0) doubts_.erase(*message.doubt_at);
-        message.doubt_at = endpoint;
+        if (message.ambiguous_endpoint && --doubts_.at(*message.ambiguous_endpoint) == 0)
+            doubts_.erase(*message.ambiguous_endpoint);
+        message.ambiguous_endpoint = endpoint;
         if (endpoint) ++doubts_[*endpoint];
     }
     Time ends_at(const Message& message) const {
-        if (message.out > 0) return message.deadline;
+        if (message.open_attempts > 0) return message.deadline;
         if (message.attempts >= settings_.max_attempts) return kLongAgo;
-        if (message.doubt_since) return std::min(message.deadline, resend_until(message));
+        if (message.ambiguous_since) return std::min(message.deadline, resend_until(message));
         return message.deadline;
     }
 
     bool may_refuse(const Message& message) const {
-        if (message.out == 0 && !message.doubt_since) return true;
-        const ClassSettings& kind = *message.terms;
+        if (message.open_attempts == 0 && !message.ambiguous_since) return true;
+        const ClassSettings& kind = *message.class_settings;
         return kind.delivery == DeliverySemantics::Retryable ||
                (kind.delivery == DeliverySemantics::Deduplicated && kind.dedup_scope == DedupScope::All);
     }
@@ -1088,11 +1020,11 @@
         const auto found = messages_.find(id);
         if (found == messages_.end()) return;
         Destination& destination = destinations_.at(found->second.destination);
-        destination.held.erase(found->second.arrival);
-        destination.aims.remove(found->second.terms->target_latency);
+        destination.held.erase(found->second.arrival_number);
+        destination.target_latencies.remove(found->second.class_settings->target_latency);
         ends_.erase(id), pauses_.erase(id);
         doubt_at(found->second, std::nullopt);
-        if (brings_news(found->second)) --destination.repeatable;
+        if (brings_news(found->second)) --destination.safe_probes;
         if (destination.held.empty()) destination.share_tag = queue_.deactivate(found->second.destination);
         if (const auto key = found->second.key) keys_.remove(*key, id, now);
         messages_.erase(found);
@@ -1121,7 +1053,7 @@
                 for (const auto& [arrival, id] : destination.held) {
                     turn += gap_of(drain_rate(destination, now));
                     const Message& message = messages_.at(id);
-                    if (message.out > 0 || message.doubt_since) continue;
+                    if (message.open_attempts > 0 || message.ambiguous_since) continue;
                     const std::pair rank{worth_of(message, turn), -static_cast<double>(arrival)};
                     if (!least || rank < lowest) least = id, lowest = rank;
                 }
@@ -1133,24 +1065,24 @@
     // While it ails, a destination is expected to stay so for as long again as it has been without a success.
     Time stalled(const Destination& destination, Time now) const {
         if (!ailing(destination)) return Time(0);
-        return std::min(kMaxExpectedStall, now - destination.last_served);
+        return std::min(kMaxExpectedStall, now - destination.last_success_at);
     }
     double drain_rate(const Destination& destination, Time now) const {
         // a memory that is not full yet knows of less than its whole span
-        const double known =
-            1.0 - std::exp(-std::max(1.0, seconds(now - destination.first_served)) / kSuccessRateMemory_s);
+        const double known = 1.0 - std::exp(-std::max(1.0, seconds(now - destination.first_success_at)) /
+                                            kSuccessRateMemory_s);
         return std::max(kMinDrainRate_per_s / senders(), faded_rate(destination, now) / known);
     }
     double faded_rate(const Destination& destination, Time now) const {
-        if (destination.served_rate <= 0) return 0.0;
-        return destination.served_rate *
-               std::exp(-seconds(now - destination.last_served) / kSuccessRateMemory_s);
+        if (destination.success_rate_per_s <= 0) return 0.0;
+        return destination.success_rate_per_s *
+               std::exp(-seconds(now - destination.last_success_at) / kSuccessRateMemory_s);
     }
     double worth_of(const Message& message, Time served) const {
-        const ClassSettings& kind = *message.terms;
-        const double worth = kind.utility * (message.over_share ? settings_.over_quota_utility : 1.0);
+        const ClassSettings& kind = *message.class_settings;
+        const double worth = kind.utility * (message.over_quota ? settings_.over_quota_utility : 1.0);
         if (served >= message.deadline) return 0.0;
-        const Time late = served - message.born - kind.target_latency;
+        const Time late = served - message.accepted_at - kind.target_latency;
         if (late <= Time(0)) return worth;
         const double aims_late = seconds(late) / std::max(seconds(Time(1000)), seconds(kind.target_latency));
         if (settings_.late_decay == LateDecay::Halving)
@@ -1184,9 +1116,9 @@
             next = destination.reservation_tag;
         for (const EndpointId id : destination.endpoints) {
             Endpoint& endpoint = endpoints_.at(id);
-            const Route& route = route_of(endpoint);
-            for (const Time due : {route.limit_tag, route.wait_until,
-                     endpoint.health != Health::Well ? endpoint.cold_tag : now})
+            const RateLimiter& limiter = route_of(endpoint);
+            for (const Time due : {limiter.limit_tag, limiter.retry_after_until,
+                     endpoint.health != Health::Healthy ? endpoint.recovery_tag : now})
                 if (due > now) next = std::min(next, due);
         }
         return next;
