--- a/src/learned_state_fields.hpp
+++ b/src/learned_state_fields.hpp
@@ -6,7 +6,7 @@
 
 namespace cometspoke {
 
-void each_figure(auto& limiter, auto& visit) requires requires { limiter.share; }
+void visit_fields(auto& limiter, auto& visit) requires requires { limiter.share; }
 {
     visit("wait_until", limiter.retry_after_until);
     visit("limit_tag", limiter.limit_tag);
@@ -16,9 +16,9 @@
     visit("ceiling", limiter.share_ceiling);
     visit("learned_at", limiter.share_changed_at);
 }
-void each_figure(auto& endpoint, auto& visit) requires requires { endpoint.health; }
+void visit_fields(auto& endpoint, auto& visit) requires requires { endpoint.health; }
 {
-    each_figure(endpoint.own_limiter, visit);
+    visit_fields(endpoint.own_limiter, visit);
     visit("used", endpoint.last_sent_at);
     visit("heard", endpoint.last_outcome_at);
     visit("often", endpoint.frequently_used);
@@ -35,9 +35,9 @@
     visit("returned", endpoint.recovering_since);
     visit("cold_tag", endpoint.recovery_tag);
 }
-void each_figure(auto& destination, auto& visit) requires requires { destination.held; }
+void visit_fields(auto& destination, auto& visit) requires requires { destination.held; }
 {
-    each_figure(destination.shared_limiter, visit);
+    visit_fields(destination.shared_limiter, visit);
     visit("usual", destination.typical_latency_s);
     visit("asked", destination.arrival_rate_per_s);
     visit("asked_at", destination.last_arrival_at);
--- a/src/learned_state_io.hpp
+++ b/src/learned_state_io.hpp
@@ -12,35 +12,35 @@
 
 namespace cometspoke {
 
-using Figures = std::map<std::string, double>;
+using FieldValues = std::map<std::string, double>;
 
 /// Writes each visited field into `figures`.
-struct FigureWriter {
-    Figures& figures;
+struct FieldWriter {
+    FieldValues& values;
     Time now;
 
     void operator()(const char* name, Time value) {
-        if (value > kLongAgo) figures[name] = seconds(value - now);
+        if (value > kLongAgo) values[name] = seconds(value - now);
     }
     template <class Number>
     void operator()(const char* name, Number value) {
-        figures[name] = static_cast<double>(value);
+        values[name] = static_cast<double>(value);
     }
 };
 
 /// Reads each visited field from `figures`, as seen from `now`.
-struct FigureReader {
-    const Figures& figures;
+struct FieldReader {
+    const FieldValues& values;
     Time now;
 
     void operator()(const char* name, Time& value) {
-        const auto found = figures.find(name);
-        if (found != figures.end()) value = now + from_seconds(found->second);
+        const auto found = values.find(name);
+        if (found != values.end()) value = now + from_seconds(found->second);
     }
     template <class Number>
     void operator()(const char* name, Number& value) {
-        const auto found = figures.find(name);
-        if (found != figures.end()) value = static_cast<Number>(found->second);
+        const auto found = values.find(name);
+        if (found != values.end()) value = static_cast<Number>(found->second);
     }
 };
 
