--- a/include/cometspoke/sender.hpp
+++ b/include/cometspoke/sender.hpp
@@ -1,6 +1,6 @@
-/// cometspoke: the interface of the decision module (its types, events and actions).
+/// The interface of cometspoke, the decision module of a message forwarder: its settings, events and actions.
 ///
-/// Units: every time is a std::chrono::microseconds count on the caller's own clock, which only advances.
+/// Units: every Time is a duration, or a point on the caller's own monotonic clock, in microseconds.
 /// Ownership: a Sender owns all its state and shares nothing with other Senders.
 /// Threads: a Sender is not thread-safe; one thread at a time calls it. It starts no thread and does no I/O.
 /// Determinism: the same settings, seed, events and times give the same actions.
@@ -24,22 +24,26 @@
 using EndpointId = std::uint32_t;
 using DestinationId = std::int64_t;
 
-/// What a repeat of a message may do: nothing bad, nothing within a window, or take effect twice.
+/// What repeating a message may cause: no harm, no second effect within a deduplication window, or a second
+/// effect.
 enum class DeliverySemantics { Retryable, Deduplicated, AtMostOnce };
-/// Which endpoints of a destination drop a repeat of a Deduplicated message.
+/// Which endpoints of a destination discard a repeat of a Deduplicated message: all, those of the zone of the
+/// first attempt, or the endpoint of the first attempt only.
 enum class DedupScope { All, Zone, Endpoint };
-/// How worth falls after the aim: evenly to late_utility at the deadline, or by half with each further aim.
+/// How utility decays after the target latency: linearly to late_utility at the deadline, or by half with
+/// each further target latency, but not below late_utility.
 enum class LateDecay { Linear, Halving };
 
 struct ClassSettings {
     DeliverySemantics delivery = DeliverySemantics::Retryable;
     DedupScope dedup_scope = DedupScope::All;
-    Time dedup_window{0};    ///< how long repeats are dropped, from the first doubtful send
-    Time target_latency{0};  ///< full worth when delivered within this time
-    Time deadline{0};        ///< no worth, and a final answer owed, after this time
+    /// Repeats are discarded for this long, from the sending of the first ambiguous attempt.
+    Time dedup_window{0};
+    Time target_latency{0};  ///< a message that is delivered within this time has its full utility
+    Time deadline{0};        ///< after this time a message has no utility, and its final reply is due
     double utility = 1.0;
     double late_utility = 0.0;
-    bool sequential = false;  ///< messages that share a key go one at a time, in arrival order
+    bool sequential = false;  ///< messages with the same key are sent one at a time, in arrival order
 };
 
 struct TenantSettings {
@@ -47,35 +51,35 @@
 };
 
 struct KindSettings {
-    bool limits_per_endpoint = false;  ///< each endpoint is a route with its own limit, waits and outages
-    std::size_t max_messages_per_call = 1;  ///< messages that one call may carry
+    bool limits_per_endpoint = false;       ///< each endpoint has its own limit, retry-after and outages
+    std::size_t max_messages_per_call = 1;  ///< one call may carry this many messages
 };
 
-/// All that the operator tells a Sender at its start. Figures of the rules keep the operator's names.
+/// The configuration of a Sender.
 struct Settings {
     std::vector<ClassSettings> classes;
     std::vector<TenantSettings> tenants;
     std::vector<KindSettings> kinds;
     std::optional<std::size_t> zone;  ///< index of this sender's own zone
     std::size_t zones = 0;
-    std::vector<double>
-        zone_costs;  ///< by zone, for each message that a route apart there takes on; or empty
-    std::size_t instance_count = 1;
-    std::size_t max_calls = 0;          ///< calls out at once
-    std::size_t max_held_messages = 0;  ///< messages held at once
-    std::size_t max_attempts = 1;
-    bool can_cancel = false;
-    bool must_subscribe = false;     ///< list changes come only after a Watch
-    bool listed_rates = false;       ///< ListEntry::agreed_rate_per_s is the destination's agreed rate
-    double reservation_per_s = 0.0;  ///< operator's reservation for each destination (r); 0 means none
-    double over_quota_utility = 1.0;
+    /// By zone: the cost of each message that an endpoint with limits_per_endpoint takes there; may be empty.
+    std::vector<double> zone_costs;
+    std::size_t instance_count = 1;     ///< number of senders, this one included
+    std::size_t max_calls = 0;          ///< calls in flight at once
+    std::size_t max_held_messages = 0;  ///< messages in memory at once
+    std::size_t max_attempts = 1;       ///< of one message
+    bool can_cancel = false;            ///< CancelAttempt is available
+    bool must_subscribe = false;        ///< list updates arrive only after a Watch
+    bool listed_rates = false;          ///< the list carries ListEntry::agreed_rate_per_s
+    double reservation_per_s = 0.0;     ///< mClock reservation of each destination (r); 0 means none
+    double over_quota_utility = 1.0;    ///< factor on the utility of a message above the quota of its tenant
     LateDecay late_decay = LateDecay::Linear;
-    Time connection_idle_limit{0};
+    Time connection_idle_limit{0};  ///< an idle connection closes after this time
     Time overload_window{0};
-    Time warm_up_time{0};
-    Time ambiguous_settle_time{0};
+    Time warm_up_time{0};           ///< duration of the slow start of an endpoint after an outage
+    Time ambiguous_settle_time{0};  ///< after an ambiguous attempt its key rests for this time
     double overload_multiple = 1.0;
-    double cold_capacity_share = 1.0;
+    double cold_capacity_share = 1.0;  ///< share of its capacity that an endpoint has as slow start begins
 };
 
 // ---- events ----
@@ -88,41 +92,42 @@
     DestinationId destination = 0;
     std::size_t zone = 0;
     std::size_t kind = 0;
-    double agreed_rate_per_s = 0.0;  ///< agreed calls a second from all senders, where Settings::listed_rates
+    double agreed_rate_per_s = 0.0;  ///< calls a second from all senders, if Settings::listed_rates
     Condition condition = Condition::Ready;
 };
-/// What the registry tells. Cached and Full replace the list; Delta amends it; Failed leaves it in force.
+/// A list of endpoints from the registry. Cached and Full replace the list, Delta changes single entries, and
+/// Failed leaves the list as it is.
 struct ListEvent {
     ListUpdateKind kind = ListUpdateKind::Full;
     std::vector<ListEntry> entries;
 };
-/// The operator takes an endpoint out by hand, or ends that. It holds whatever the list says, before or
+/// An operator disables an endpoint or enables it again. This applies whatever the list says, before or
 /// after.
 struct AdminDisableEvent {
     EndpointId endpoint = 0;
     bool disabled = true;
 };
-/// A new message, to be ended exactly once by a terminal outcome, Refuse or Fail.
+/// A new message. It ends exactly once, by a terminal outcome, Refuse or Fail.
 struct MessageEvent {
     MessageId message = 0;
     DestinationId destination = 0;
     std::size_t message_class = 0;
     std::optional<std::size_t> tenant;
     std::optional<std::uint64_t> key;
-    Time time_left{0};  ///< time until the message is given up; not above 0: it is overdue
-    /// For a message that was taken on before a restart: attempts begun so far, and the first of them that
-    /// may have run, if any.
+    Time time_left{0};  ///< time until the deadline; the message is overdue if this is not positive
+    /// For a message that was accepted before a restart: the number of attempts started so far, and below the
+    /// first of them that may have run, if any.
     std::uint32_t attempts = 0;
     struct AmbiguousAttempt {
-        Time age{0};                           ///< since its sending
-        std::optional<EndpointId> endpoint{};  ///< where it went, if that is still known
+        Time age{0};                           ///< time since it was sent
+        std::optional<EndpointId> endpoint{};  ///< where it was sent, if still known
     };
     std::optional<AmbiguousAttempt> ambiguous_attempt{};
-    /// Its class as it was when the message was taken on, where that was before these Settings;
-    /// `message_class` means nothing then.
+    /// The settings of its class when the message was accepted, if it was accepted under earlier Settings;
+    /// `message_class` is ignored then.
     std::optional<ClassSettings> class_settings{};
 };
-/// The response of a streamed message has begun: the attempt belongs to the client from here on.
+/// The response to a streamed message has started. From now on the attempt belongs to the client.
 struct StreamStarted {
     MessageId message = 0;
     std::uint32_t attempt = 0;
@@ -136,27 +141,27 @@
     ConnectionLost,
     Cancelled,
     NotSent,
-    MalformedResponse,  ///< an answer came, and it was spoilt: it may have run
-    Withheld            ///< not begun, since it might not any more: it never ran, and is no attempt
+    MalformedResponse,  ///< a response arrived but was malformed; the message may have run
+    Withheld            ///< not started, as may_start() denied it; it never ran and counts as no attempt
 };
 struct LoadReport {
-    double remaining_share = 0.0;  ///< share of the limit that is left
-    double limit_per_s = 0.0;      ///< limit in calls a second from all senders; 0 where there is none
+    double remaining_share = 0.0;  ///< unused share of the limit
+    double limit_per_s = 0.0;      ///< calls a second from all senders; 0 if there is no limit
 };
-/// How an attempt ended; each Send gets exactly one.
+/// How an attempt ended. Each Send gets exactly one.
 struct OutcomeEvent {
     MessageId message = 0;
     EndpointId endpoint = 0;
     std::uint32_t attempt = 0;
     Outcome outcome = Outcome::Delivered;
-    bool terminal = false;  ///< the message has its final answer
+    bool terminal = false;  ///< the message has its final reply
     Time rtt{0};
-    Time retry_after{0};  ///< what is left of a told wait, 0 if none: it binds however the attempt ended
+    Time retry_after{0};  ///< the remaining retry-after, 0 if none; it applies to every outcome
     std::optional<LoadReport> report;
-    bool connection_limit_reached =
-        false;  ///< Rejected, as the endpoint holds all the connections that it takes
+    /// The outcome is Rejected because the connection limit of the endpoint is used up.
+    bool connection_limit_reached = false;
 };
-/// An answer of which more is to come has told a wait.
+/// A retry-after in a response that is not complete yet.
 struct RetryAfterEvent {
     EndpointId endpoint = 0;
     Time retry_after{0};
@@ -175,19 +180,21 @@
     std::size_t from = 0;
     std::string bytes;
 };
-/// Other Settings from now on; messages that are held keep their class. Zones and kinds keep their places,
-/// and may only become more.
+/// New Settings. Messages that are held keep the settings of their class. Zones and kinds keep their indices,
+/// and none may be removed.
 struct SettingsEvent {
     Settings settings;
 };
-/// A call that another process of this sender has out: it takes a slot here, and its outcomes come here.
+/// A call in flight on a connection of another process of this sender. It counts against max_calls here, and
+/// its outcomes are observed here.
 struct InheritedCall {
     EndpointId endpoint = 0;
     Time age{0};
-    std::vector<std::pair<MessageId, std::uint32_t>> attempts;  ///< those without an outcome
+    std::vector<std::pair<MessageId, std::uint32_t>> attempts;  ///< the attempts that have no outcome yet
 };
-/// What a Sender has learned of one endpoint or destination, or (with neither) of all, for the Sender that
-/// takes its place. Times are seconds from the moment of telling; what a name means is the module's affair.
+/// What a Sender has learned of one endpoint or destination, or (with neither) of all destinations, for the
+/// Sender that replaces it. Times are seconds relative to the call of learned_state(). The names in `values`
+/// are internal to the module.
 struct LearnedState {
     std::optional<EndpointId> endpoint;
     std::optional<DestinationId> destination;
@@ -199,24 +206,25 @@
 
 // ---- actions ----
 
-/// Start an attempt; attempts of a message count from 0 in the order of their Sends.
+/// Starts an attempt. The attempts of a message are numbered from 0 in the order of their Sends.
 struct Send {
     MessageId message = 0;
     EndpointId endpoint = 0;
     Time timeout{0};
-    /// A repeat that must begin by then, however long its connection takes to come up; else it is NotSent.
+    /// The time within which a repeat must start, including the time to connect; after it the outcome is
+    /// NotSent.
     std::optional<Time> start_within{};
 };
 struct CancelAttempt {
     MessageId message = 0;
     std::uint32_t attempt = 0;
 };
-/// Final: never ran, or a repeat does no harm; the client may come again.
+/// Ends a message that never ran, or whose repeat does no harm. The client may retry it.
 struct Refuse {
     MessageId message = 0;
     Time retry_after{0};
 };
-/// Final: given up, with no promise about its effect.
+/// Ends a message without a guarantee whether it took effect.
 struct Fail {
     MessageId message = 0;
 };
@@ -229,7 +237,7 @@
 struct CloseIdle {
     EndpointId endpoint = 0;
 };
-/// A note to one peer, or to all where `to` is empty.
+/// Sends a message to one peer, or to all peers if `to` is empty.
 struct SendToPeers {
     std::optional<std::size_t> to;
     std::string bytes;
@@ -241,31 +249,33 @@
 struct Log {
     std::string text;
 };
-/// Nothing here names the endpoint any more, and it is no longer listed. Its number must not be used again.
+/// The Sender no longer refers to the endpoint, and the endpoint is no longer listed. Its id must not be
+/// reused.
 struct ReleaseEndpoint {
     EndpointId endpoint = 0;
 };
 using Action = std::variant<Send, CancelAttempt, Refuse, Fail, SetTimer, Probe, CloseIdle, SendToPeers, Watch,
     FetchList, Log, ReleaseEndpoint>;
 
-/// The decisions of one sender. Feed every event to observe(), then call decide() once for the batch and
-/// carry out the actions in order. Late or unknown message ids are passed over.
+/// Decides for one sender. Pass every event to observe(), then call decide() once for the batch and carry out
+/// the actions in order. Events with unknown message ids, such as late ones, are ignored.
 class Sender {
 public:
-    /// Throws std::invalid_argument naming the setting where Settings make no sense.
+    /// Throws std::invalid_argument with the name of the setting if the Settings are invalid.
     Sender(Settings settings, std::uint64_t seed);
     ~Sender();
     Sender(Sender&&) noexcept;
     Sender& operator=(Sender&&) noexcept;
 
-    /// Throws std::invalid_argument where an event names a class, tenant, zone or kind not in the Settings,
-    /// or brings Settings that make no sense; nothing has changed then.
+    /// Throws std::invalid_argument if an event refers to a class, tenant, zone or kind that is not in the
+    /// Settings, or contains invalid Settings. The state is unchanged then.
     void observe(const Event& event, Time now);
     std::vector<Action> decide(Time now);
-    /// Whether an attempt may still begin. Its connection may have come up long after its Send: a wait that
-    /// was told since then binds it too, and so do a drain, a ban and the end of its message.
+    /// Whether an attempt may still start. Its connection may have been set up long after its Send: a
+    /// retry-after received since then prevents the start, and so do a drain, an administrative disable and
+    /// the end of the message.
     bool may_start(MessageId message, std::uint32_t attempt, Time now) const;
-    /// For another Sender that takes over: observed there after the list and the messages.
+    /// The state for another Sender that takes over. It observes this state after the list and the messages.
     std::vector<LearnedState> learned_state(Time now) const;
 
 private:
--- a/src/learned_state_fields.hpp
+++ b/src/learned_state_fields.hpp
@@ -1,7 +1,9 @@
-/// Which fields of the learned state are serialized, by record: limits of a route, outages of an endpoint,
-/// rates of a destination. One list serves both directions (learned_state_io.hpp). A new field is added here,
-/// under a new name; a name is never given another meaning, since the other process may be of another
-/// version.
+/// The fields of the learned state that are serialized: limits of a rate limiter, outages of an endpoint,
+/// rates of a destination.
+///
+/// One list serves writing and reading (learned_state_io.hpp). The texts are the format between two
+/// processes, which may be of different versions: a new field gets a new text, and a text never changes its
+/// meaning. The texts are therefore independent of the names of the fields.
 #pragma once
 
 namespace cometspoke {
--- a/src/learned_state_io.hpp
+++ b/src/learned_state_io.hpp
@@ -1,8 +1,9 @@
-/// Serialization of learned state: visitors that write the fields of a record as named figures, and read them
-/// back. A record type lists its fields once, for both directions, in its `each_figure`.
+/// Serialization of learned state: visitors that write the fields of a record as named values and read them
+/// back. Each record type lists its fields once, for both directions, in its `visit_fields`
+/// (learned_state_fields.hpp).
 ///
-/// Units: times are written as seconds relative to the moment of writing, all else as plain numbers. A time
-/// that was never set is left out, and a figure that is missing leaves its field as it is.
+/// Units: times are written as seconds relative to the time of writing, all other fields as plain numbers. A
+/// time that was never set is omitted. A missing value leaves its field unchanged.
 #pragma once
 
 #include <map>
@@ -14,7 +15,7 @@
 
 using FieldValues = std::map<std::string, double>;
 
-/// Writes each visited field into `figures`.
+/// Writes each visited field into `values`.
 struct FieldWriter {
     FieldValues& values;
     Time now;
@@ -28,7 +29,7 @@
     }
 };
 
-/// Reads each visited field from `figures`, as seen from `now`.
+/// Reads each visited field from `values`, with times relative to `now`.
 struct FieldReader {
     const FieldValues& values;
     Time now;
--- a/src/sender_constants.hpp
+++ b/src/sender_constants.hpp
@@ -33,7 +33,8 @@
 inline constexpr double kInitialExtraFairShares = 6.0;
 /// At the start all senders together may send the calls that the limit allows in this time at once.
 inline constexpr Time kInitialBurst{500'000};
-/// The first refusal multiplies the share by n to this power: it takes off a third with three senders.
+/// The k-th refusal since the last success multiplies the share by n to the power of k times this: the first
+/// one takes off a third with three senders.
 inline constexpr double kRefusalExponent = -1.0 / 3.0;
 /// One refusal leaves at least this part of the share.
 inline constexpr double kMinRefusalFactor = 0.4;
@@ -108,9 +109,10 @@
 inline constexpr double kMinInformedShare = 0.05;
 /// All senders together probe an endpoint at least this often in Settings::overload_window.
 inline constexpr double kMinProbesPerOverloadWindow = 3.0;
-/// Sends to an unhealthy endpoint are at least this far apart,
+/// Sends to an unhealthy endpoint are at least this far apart, or kMinProbeGapTypicalLatencies if that is
+/// shorter.
 inline constexpr Time kMinProbeGap{250'000};
-/// or this many typical latencies over all destinations, where that is shorter.
+/// Alternative to kMinProbeGap, in typical latencies over all destinations.
 inline constexpr double kMinProbeGapTypicalLatencies = 2.5;
 /// Sends to a recovering endpoint that has had a success since its outage are at least this far apart.
 inline constexpr Time kMinRecoveringGap{10'000};
@@ -119,9 +121,9 @@
 
 /// Timeout in typical latencies of the destination, where a repeat is allowed.
 inline constexpr double kTimeoutTypicalLatencies = 8.0;
-/// The timeout is at least this,
+/// The timeout is at least this, or kMinTimeoutTypicalLatencies if that is shorter.
 inline constexpr Time kMinTimeout{1'000'000};
-/// or this many typical latencies over all destinations, where that is shorter.
+/// Alternative to kMinTimeout, in typical latencies over all destinations.
 inline constexpr double kMinTimeoutTypicalLatencies = 12.0;
 /// A duration that is scaled to the typical latency over all destinations is at least this.
 inline constexpr Time kMinScaledDuration{50'000};
--- a/src/validate_settings.hpp
+++ b/src/validate_settings.hpp
@@ -1,4 +1,4 @@
-/// Whether Settings make sense. It decides nothing else.
+/// Validation of Settings.
 #pragma once
 
 #include <algorithm>
@@ -10,12 +10,12 @@
 
 namespace cometspoke {
 
-/// Throws std::invalid_argument that names the setting, where `good` does not hold.
-inline void require(bool good, const char* name) {
-    if (!good) throw std::invalid_argument(std::string("cometspoke settings: ") + name);
+/// Throws std::invalid_argument with the name of the setting unless `valid`.
+inline void require(bool valid, const char* name) {
+    if (!valid) throw std::invalid_argument(std::string("cometspoke settings: ") + name);
 }
 
-/// Throws std::invalid_argument that names the first setting that makes no sense.
+/// Throws std::invalid_argument with the name of the first invalid setting.
 inline void validate(const Settings& settings) {
     require(settings.max_calls > 0, "slots");
     require(settings.max_held_messages > 0, "most_held");
