--- a/src/net/file_io.cpp
+++ b/src/net/file_io.cpp
@@ -14,9 +14,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr int kReadAttempts = 20;
-constexpr auto kReadPause = 5ms;
-constexpr std::size_t kReadSize = 64 * 1024;  // bytes in one read
+constexpr int kMaxReadAttempts = 20;
+constexpr auto kPauseBetweenReads = 5ms;
+constexpr std::size_t kReadChunkBytes = 64 * 1024;
 
 std::error_code last_error() { return {errno, std::system_category()}; }
 
@@ -36,16 +36,16 @@
         file.error = last_error();
         return file;
     }
-    std::string piece(kReadSize, '\0');
+    std::string chunk(kReadChunkBytes, '\0');
     while (true) {
-        const ssize_t count = ::read(fd, piece.data(), piece.size());
+        const ssize_t count = ::read(fd, chunk.data(), chunk.size());
         if (count == 0) break;
         if (count < 0 && errno == EINTR) continue;
         if (count < 0) {
             file.error = last_error();
             break;
         }
-        file.bytes.append(piece, 0, static_cast<std::size_t>(count));
+        file.bytes.append(chunk, 0, static_cast<std::size_t>(count));
     }
     ::close(fd);
     return file;
@@ -54,8 +54,8 @@
 FileContents read_file_with_retries(const std::filesystem::path& path) {
     for (int attempt = 1;; ++attempt) {
         FileContents file = read_file(path);
-        if (!file.error || !is_transient(file.error) || attempt == kReadAttempts) return file;
-        std::this_thread::sleep_for(kReadPause);
+        if (!file.error || !is_transient(file.error) || attempt == kMaxReadAttempts) return file;
+        std::this_thread::sleep_for(kPauseBetweenReads);
     }
 }
 
--- a/src/net/file_io.hpp
+++ b/src/net/file_io.hpp
@@ -1,4 +1,4 @@
-/// Files read and written whole; interruptions are gone over.
+/// Reads and writes whole files; system calls that a signal interrupts are repeated.
 #pragma once
 
 #include <filesystem>
@@ -10,18 +10,19 @@
 
 struct FileContents {
     std::string bytes;
-    std::error_code error;  ///< none where all of the file is in `bytes`
+    std::error_code error;  ///< none if `bytes` holds the whole file
 };
 
-/// One attempt; interruptions and short reads are gone over.
+/// Reads a file once; interrupted and short reads are continued.
 FileContents read_file(const std::filesystem::path& path);
-/// Several attempts within a tenth of a second, for files that are read at a start or a reload.
+/// Retries a transient error for about a tenth of a second. Meant for files that are read at a start or at a
+/// reload of the configuration.
 FileContents read_file_with_retries(const std::filesystem::path& path);
 
-/// Writes all bytes; interruptions and short writes are gone over.
+/// Writes all bytes; interrupted and short writes are continued.
 std::error_code write_all(int fd, std::string_view bytes);
 
-/// open(2), gone on with after an interruption.
+/// Calls open(2), again if a signal interrupts it. The descriptor is closed on exec.
 int open_retrying_interrupts(const std::filesystem::path& path, int flags, unsigned mode = 0);
 
 }  // namespace lockgw
--- a/src/net/persistent_clock.cpp
+++ b/src/net/persistent_clock.cpp
@@ -7,7 +7,7 @@
 
 using std::chrono::microseconds;
 
-constexpr const char* kBootIdFile = "/proc/sys/kernel/random/boot_id";
+constexpr const char* kBootIdPath = "/proc/sys/kernel/random/boot_id";
 
 microseconds monotonic_now() {
     return std::chrono::duration_cast<microseconds>(std::chrono::steady_clock::now().time_since_epoch());
@@ -18,7 +18,7 @@
 }
 
 std::string read_boot_id() {
-    const FileContents file = read_file_with_retries(kBootIdFile);
+    const FileContents file = read_file_with_retries(kBootIdPath);
     return file.bytes.substr(0, file.bytes.find('\n'));
 }
 
--- a/src/net/persistent_clock.hpp
+++ b/src/net/persistent_clock.hpp
@@ -1,4 +1,4 @@
-/// Points in time that keep their meaning over a restart of the process.
+/// Points in time that stay comparable across restarts of the process.
 #pragma once
 
 #include <chrono>
@@ -6,28 +6,28 @@
 
 namespace lockgw {
 
-/// Microseconds on a PersistentClock. Close to Unix time, and equal to it only where nobody has set the
-/// clock.
+/// Microseconds on a PersistentClock. They are close to Unix time, and equal to it only if nobody has set the
+/// wall clock since the epoch was taken.
 using PersistentTime = std::chrono::sys_time<std::chrono::microseconds>;
 
-/// The machine's monotonic clock, moved by an offset that is taken from the wall clock once for each boot and
-/// then kept on disk. Spans between its times are spans of real time, also where the wall clock is stepped
-/// and also between two processes. After a reboot the wall clock is all that is left to go by.
+/// The machine's monotonic clock plus an offset that is taken from the wall clock once per boot and then kept
+/// on disk. Differences between its times are real durations, even if the wall clock is stepped and even
+/// between two processes. After a reboot the clock depends on the wall clock alone.
 class PersistentClock {
 public:
-    /// What has to be kept for another process to go on with the same clock.
+    /// What has to be stored for another process to continue the same clock.
     struct Epoch {
-        std::string boot_id;  ///< of the kernel; empty where it cannot be read, and then nothing goes on
+        std::string boot_id;  ///< of the kernel; empty if it cannot be read: such an epoch is not continued
         std::chrono::microseconds offset{0};  ///< from the monotonic clock to this one
         bool operator==(const Epoch&) const = default;
     };
 
-    /// A new epoch, by the wall clock of now.
+    /// Begins a new epoch at the current wall clock time.
     PersistentClock();
 
     PersistentTime now() const;
     const Epoch& epoch() const { return epoch_; }
-    /// Goes on with an earlier process's epoch; passes over one of another boot.
+    /// Continues the epoch of an earlier process. An epoch of another boot is ignored.
     void resume(const Epoch& earlier);
 
 private:
--- a/src/net/system_errors.hpp
+++ b/src/net/system_errors.hpp
@@ -1,4 +1,4 @@
-/// Which errors of the system say something lasting, and which may pass by themselves.
+/// Tells transient system errors from lasting ones.
 #pragma once
 
 #include <exception>
@@ -6,14 +6,15 @@
 
 namespace lockgw {
 
-/// This machine lacks descriptors, memory, buffers, disk or a local port now.
+/// Whether this machine currently lacks descriptors, memory, buffers, disk space or a local port.
 bool is_shortage(const std::error_code& error);
 
-/// Errors that may pass by themselves: a shortage, an interruption, a network or a disk that does not answer.
-/// Anything else is a fact about the file or the address.
+/// Whether an error may disappear without intervention: a shortage, an interruption, or a network or disk
+/// that does not respond. Any other error is a lasting property of the file or the address.
 bool is_transient(const std::error_code& error);
 
-/// The system's error that an exception of the standard library or of asio carries; none for any other.
+/// The system error that an exception of the standard library or of Asio carries; an empty error code for any
+/// other exception.
 std::error_code system_error_of(const std::exception& exception);
 
 }  // namespace lockgw
