--- a/src/net/event_log.hpp
+++ b/src/net/event_log.hpp
@@ -1,6 +1,6 @@
-/// One structured line for each step of a message: its id, attempt, endpoint and the reason. Never its body
-/// or its key. Bounded in rate, and never waited for: a reader that does not read loses lines, and they are
-/// counted.
+/// Logs one structured line for each step of a message: its id, attempt, endpoint and the reason, but neither
+/// its body nor its key. The rate is bounded and a write never blocks: lines that the reader does not take in
+/// time are dropped and counted.
 #pragma once
 
 #include <chrono>
@@ -23,16 +23,17 @@
     EventLog();
     ~EventLog();
 
-    /// `reason`: why it was refused or ended, or how the attempt ended. `endpoint`: its name, or empty.
+    /// `reason` says why the message was refused or ended, or how the attempt ended. `endpoint` is a name or
+    /// empty.
     void message(MessageStep step, cometspoke::MessageId id, std::string_view reason = {},
         std::string_view endpoint = {}, std::uint32_t attempt = 0);
 
 private:
-    bool within_rate();
+    bool take_line_allowance();
 
     std::unique_ptr<spdlog::logger> logger_;
     std::chrono::steady_clock::time_point refilled_at_{};
-    double lines_left_;
+    double available_lines_;
 };
 
 }  // namespace lockgw
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -9,16 +9,16 @@
 namespace lockgw {
 namespace {
 
-constexpr std::chrono::milliseconds kFiresWithin{100};
+constexpr std::chrono::milliseconds kMaxHandlerDelay{100};
 
-/// Ignored by default, and with no use of its own in this program.
+/// The system ignores it by default, and the program does not use it otherwise.
 constexpr int kProbeSignal = SIGWINCH;
 
-/// Runs the one handler that is waited for.
-void expect_handler(boost::asio::io_context& io, const char* what) {
-    const bool ran = io.run_one_for(kFiresWithin) > 0;
+/// Runs the pending handler. Throws with the text `error` if none becomes ready in time.
+void expect_handler(boost::asio::io_context& io, const char* error) {
+    const bool ran = io.run_one_for(kMaxHandlerDelay) > 0;
     io.restart();
-    if (!ran) throw std::system_error(ENOMEM, std::system_category(), what);
+    if (!ran) throw std::system_error(ENOMEM, std::system_category(), error);
 }
 
 }  // namespace
@@ -32,7 +32,8 @@
 void check_signals(boost::asio::io_context& io) {
     boost::asio::signal_set signals(io, kProbeSignal);
     signals.async_wait([](auto, int) {});
-    // The handler that the set has installed, called as the kernel would: signals may be blocked here.
+    // Calls the handler that the set has installed, as the kernel would. A raised signal might not arrive
+    // because signals may be blocked here.
     struct sigaction installed {};
     ::sigaction(kProbeSignal, nullptr, &installed);
     installed.sa_handler(kProbeSignal);
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -1,18 +1,19 @@
 /// Checks of a new event loop.
 ///
-/// Asio does not report that the system refused to watch the loop's own timer or the pipe that carries
-/// signals: no timer would ever fire, or no signal be handled, in a process that looks well otherwise.
+/// Asio does not report it if the system refuses to watch the loop's own timer or the pipe that carries
+/// signals. The process would appear healthy, but no timer would ever fire or no signal would be handled.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 
 namespace lockgw {
 
-/// Throws std::system_error with ENOMEM, which may pass by itself, where a timer of `io` does not fire.
-/// `io` must have no other work.
+/// Throws std::system_error with ENOMEM, which counts as transient, if a timer of `io` does not fire. `io`
+/// must have no other work.
 void check_timers(boost::asio::io_context& io);
 
-/// The same for signals: throws where none reaches a boost::asio::signal_set of `io`.
+/// Throws the same error if no signal reaches a boost::asio::signal_set of `io`, which must have no other
+/// work.
 void check_signals(boost::asio::io_context& io);
 
 }  // namespace lockgw
