--- a/src/net/journal.cpp
+++ b/src/net/journal.cpp
@@ -18,65 +18,75 @@
 namespace lockgw {
 namespace {
 
-enum class Kind : std::uint8_t {
+/// The first byte of a record. The numbers are part of the file format.
+enum class RecordType : std::uint8_t {
     Entry = 1,
-    Begun,
+    StartedOrWritten,  // earlier versions wrote it, and did not tell Connecting from Written
     NeverRan,
     MayHaveRun,
     Delivered,
     Ended,
-    Confirmed,
-    Banned,
-    Unbanned,
+    NoticeConfirmed,
+    EndpointDisabled,
+    EndpointEnabled,
     Withdrawn,
-    Connecting,  // begun, and not written yet; Begun, of earlier versions, left open which
+    Connecting,  // the attempt has started, and nothing of it has been written yet
     Written,
-    Over,
-    Epoch  // of the clock of all times behind it
+    EndedId,
+    Epoch  // of the clock of all times in the records that follow
 };
-constexpr MessageId kNoMessage = 0;  // stands in the records that are of none
+constexpr MessageId kNoMessage = 0;  // the id in records that belong to no message
 
-// How far an attempt has come; 0 stands for none. Earlier versions told written and connecting as one.
+// The stage of an attempt; 0 stands for no attempt. Earlier versions stored both stages as 1.
 constexpr std::uint8_t kWritten = 1, kConnecting = 2;
 
-constexpr std::size_t kHeader = 8;           // length and checksum
-constexpr std::size_t kBlock = 512;          // files count in these
-constexpr std::size_t kFolder = 4096;        // kept free for the folder itself
-constexpr std::size_t kLongestTarget = 128;  // longer names are cut: they only tell where a repeat may go
-constexpr std::size_t kGrowth =
-    2 * kLongestTarget + 64;        // an entry may grow by so much after it was taken on
-constexpr double kLiveShare = 0.4;  // of the room: the old file, the new one and some appending fit in it
+constexpr std::size_t kFrameHeaderBytes = 8;  // length and checksum
+constexpr std::size_t kDiskBlockBytes = 512;  // the disk space of a file is counted in these blocks
+constexpr std::size_t kFolderBytes = 4096;    // kept free for the folder itself
+// Longer names are cut; the name only serves to decide where an attempt may be repeated.
+constexpr std::size_t kMaxEndpointNameBytes = 128;
+// The largest amount by which an entry may grow after its message was accepted.
+constexpr std::size_t kMaxEntryGrowthBytes = 2 * kMaxEndpointNameBytes + 64;
+// Of the disk space: the old file, the new file and some appended records must fit together.
+constexpr double kMaxLiveShare = 0.4;
 
-constexpr std::string_view kAsideName = "journal.unread-";  // and a number
+constexpr std::string_view kAsideFilePrefix = "journal.unread-";  // a number follows
 
-constexpr std::size_t kLeastCompaction = 512 * 1024;  // a file is written anew from this size,
-constexpr std::size_t kStaleTimes = 4;                // and so many times what it would then hold
+// The file is compacted once it exceeds this size and also this multiple of the size after compaction.
+constexpr std::size_t kMinCompactionBytes = 512 * 1024;
+constexpr std::size_t kMinCompactionRatio = 4;
 
-constexpr std::chrono::milliseconds kCheapCompaction{1};  // one that fails is tried again at once;
-constexpr int kPauseTimes = 20;                           // a longer one, after so many times its time
+// A failed compaction that took no longer than this is retried at once. After a longer one the pause is this
+// multiple of its duration.
+constexpr std::chrono::milliseconds kMaxCompactionTimeWithoutPause{1};
+constexpr int kCompactionPauseFactor = 20;
 
-constexpr double kOverShare = 0.1;                // of the room: for ids of what is over
-constexpr std::size_t kOverCost = 8 + 1 + 8 + 8;  // with header, kind, id and time
+constexpr double kMaxEndedIdsShare = 0.1;                   // of the disk space
+constexpr std::size_t kEndedIdRecordBytes = 8 + 1 + 8 + 8;  // frame header, record type, id and time
 
-std::size_t in_blocks(std::size_t bytes) { return (bytes + kBlock - 1) / kBlock * kBlock; }
+std::size_t round_up_to_blocks(std::size_t bytes) {
+    return (bytes + kDiskBlockBytes - 1) / kDiskBlockBytes * kDiskBlockBytes;
+}
 
-class Writer {
+class RecordWriter {
 public:
-    explicit Writer(Kind kind) { number(kind); }
+    explicit RecordWriter(RecordType type) { number(type); }
     template <class T>
-    Writer& number(T value) {
+    RecordWriter& number(T value) {
         char raw[sizeof(T)];
         std::memcpy(raw, &value, sizeof(T));
         bytes_.append(raw, sizeof(T));
         return *this;
     }
-    Writer& text(std::string_view value) {
+    RecordWriter& text(std::string_view value) {
         number(static_cast<std::uint32_t>(value.size()));
         bytes_.append(value);
         return *this;
     }
-    Writer& time(PersistentTime value) { return number<std::int64_t>(value.time_since_epoch().count()); }
-    Writer& attempt(const std::optional<StartedAttempt>& value) {
+    RecordWriter& time(PersistentTime value) {
+        return number<std::int64_t>(value.time_since_epoch().count());
+    }
+    RecordWriter& attempt(const std::optional<StartedAttempt>& value) {
         number(static_cast<std::uint8_t>(!value ? 0 : value->written ? kWritten : kConnecting));
         return value ? time(value->since).text(value->endpoint) : *this;
     }
@@ -86,10 +96,10 @@
     std::string bytes_;
 };
 
-/// Throws std::out_of_range where a record is too short for what it says it holds.
-class Reader {
+/// Throws std::out_of_range if a record is shorter than its fields require.
+class RecordReader {
 public:
-    explicit Reader(std::string_view bytes) : rest_(bytes) {}
+    explicit RecordReader(std::string_view bytes) : rest_(bytes) {}
     template <class T>
     T number() {
         T value;
@@ -108,7 +118,7 @@
 
 private:
     std::string_view take(std::size_t count) {
-        if (count > rest_.size()) throw std::out_of_range("record");
+        if (count > rest_.size()) throw std::out_of_range("journal record too short");
         const std::string_view taken = rest_.substr(0, count);
         rest_.remove_prefix(count);
         return taken;
@@ -116,28 +126,28 @@
     std::string_view rest_;
 };
 
-void write_terms(const cometspoke::ClassSettings& terms, Writer& writer) {
-    writer.number(static_cast<std::uint8_t>(terms.delivery));
-    writer.number(static_cast<std::uint8_t>(terms.dedup_scope));
-    for (const cometspoke::Time time : {terms.dedup_window, terms.target_latency, terms.deadline})
+void write_class_settings(const cometspoke::ClassSettings& settings, RecordWriter& writer) {
+    writer.number(static_cast<std::uint8_t>(settings.delivery));
+    writer.number(static_cast<std::uint8_t>(settings.dedup_scope));
+    for (const cometspoke::Time time : {settings.dedup_window, settings.target_latency, settings.deadline})
         writer.number<std::int64_t>(time.count());
-    writer.number(terms.utility).number(terms.late_utility).number<std::uint8_t>(terms.sequential);
+    writer.number(settings.utility).number(settings.late_utility).number<std::uint8_t>(settings.sequential);
 }
-cometspoke::ClassSettings read_terms(Reader& reader) {
-    cometspoke::ClassSettings terms;
-    terms.delivery = static_cast<cometspoke::DeliverySemantics>(reader.number<std::uint8_t>());
-    terms.dedup_scope = static_cast<cometspoke::DedupScope>(reader.number<std::uint8_t>());
-    for (cometspoke::Time* time : {&terms.dedup_window, &terms.target_latency, &terms.deadline})
+cometspoke::ClassSettings read_class_settings(RecordReader& reader) {
+    cometspoke::ClassSettings settings;
+    settings.delivery = static_cast<cometspoke::DeliverySemantics>(reader.number<std::uint8_t>());
+    settings.dedup_scope = static_cast<cometspoke::DedupScope>(reader.number<std::uint8_t>());
+    for (cometspoke::Time* time : {&settings.dedup_window, &settings.target_latency, &settings.deadline})
         *time = cometspoke::Time(reader.number<std::int64_t>());
-    terms.utility = reader.number<double>();
-    terms.late_utility = reader.number<double>();
-    terms.sequential = reader.number<std::uint8_t>() != 0;
-    return terms;
+    settings.utility = reader.number<double>();
+    settings.late_utility = reader.number<double>();
+    settings.sequential = reader.number<std::uint8_t>() != 0;
+    return settings;
 }
 
-std::string record_of(const JournalEntry& entry) {
+std::string serialize_entry(const JournalEntry& entry) {
     const Message& message = entry.message;
-    Writer writer(Kind::Entry);
+    RecordWriter writer(RecordType::Entry);
     writer.number(message.id).text(message.message_class).text(message.tenant).text(message.key);
     writer.number(message.destination).time(message.deadline).text(message.body);
     writer.number(entry.attempts).attempt(entry.ambiguous_attempt).attempt(entry.open_attempt);
@@ -146,23 +156,24 @@
         writer.number<std::uint8_t>(entry.notice->bounced);
         writer.number<std::int64_t>(entry.notice->retry_after.count());
     }
-    if (message.class_settings) write_terms(*message.class_settings, writer);
+    if (message.class_settings) write_class_settings(*message.class_settings, writer);
     if (message.class_settings && message.order_key) writer.number(*message.order_key);
     return writer.bytes();
 }
-/// Of its record, or a little more, without writing it: it is asked for at every change of an entry.
-std::size_t size_of(const JournalEntry& entry) {
+/// An upper bound of the entry's record size. It is computed without serializing the entry because every
+/// change of an entry needs it.
+std::size_t max_record_bytes(const JournalEntry& entry) {
     constexpr std::size_t fixed = 176;  // all numbers, times and lengths of texts
     const Message& message = entry.message;
     return fixed + message.message_class.size() + message.tenant.size() + message.key.size() +
            message.body.size() + (entry.ambiguous_attempt ? entry.ambiguous_attempt->endpoint.size() : 0) +
            (entry.open_attempt ? entry.open_attempt->endpoint.size() : 0);
 }
-EndNotice read_notice(Reader& reader) {
+EndNotice read_notice(RecordReader& reader) {
     const bool bounced = reader.number<std::uint8_t>() != 0;
     return {bounced, std::chrono::milliseconds(reader.number<std::int64_t>())};
 }
-JournalEntry read_entry(MessageId id, Reader& reader) {
+JournalEntry read_entry(MessageId id, RecordReader& reader) {
     JournalEntry entry;
     Message& message = entry.message;
     message.id = id;
@@ -176,51 +187,55 @@
     entry.ambiguous_attempt = reader.attempt();
     entry.open_attempt = reader.attempt();
     if (reader.number<std::uint8_t>() != 0) entry.notice = read_notice(reader);
-    if (!reader.empty()) message.class_settings = read_terms(reader);  // earlier versions wrote none
+    // Records of earlier versions end here.
+    if (!reader.empty()) message.class_settings = read_class_settings(reader);
     if (!reader.empty()) message.order_key = reader.number<std::uint64_t>();
     return entry;
 }
 
-std::string epoch_record(const PersistentClock::Epoch& epoch) {
-    Writer writer(Kind::Epoch);
+std::string serialize_epoch(const PersistentClock::Epoch& epoch) {
+    RecordWriter writer(RecordType::Epoch);
     writer.number(kNoMessage).text(epoch.boot_id).number<std::int64_t>(epoch.offset.count());
     return writer.bytes();
 }
-PersistentClock::Epoch read_epoch(Reader& reader) {
+PersistentClock::Epoch read_epoch(RecordReader& reader) {
     PersistentClock::Epoch epoch;
     epoch.boot_id = reader.text();
     epoch.offset = std::chrono::microseconds(reader.number<std::int64_t>());
     return epoch;
 }
 
-std::string ban_record(const std::string& target, bool on) {
-    return Writer(on ? Kind::Banned : Kind::Unbanned).number(kNoMessage).text(target).bytes();
+std::string serialize_disabled(const std::string& endpoint, bool disabled) {
+    return RecordWriter(disabled ? RecordType::EndpointDisabled : RecordType::EndpointEnabled)
+        .number(kNoMessage)
+        .text(endpoint)
+        .bytes();
 }
 
 std::uint32_t checksum(std::string_view bytes) {
-    boost::crc_32_type sum;
-    sum.process_bytes(bytes.data(), bytes.size());
-    return sum.checksum();
-}
-std::string framed(const std::string& record) {
-    const std::uint32_t head[] = {static_cast<std::uint32_t>(record.size()), checksum(record)};
-    std::string bytes(kHeader, '\0');
-    std::memcpy(bytes.data(), head, kHeader);
+    boost::crc_32_type crc;
+    crc.process_bytes(bytes.data(), bytes.size());
+    return crc.checksum();
+}
+std::string add_frame(const std::string& record) {
+    const std::uint32_t header[] = {static_cast<std::uint32_t>(record.size()), checksum(record)};
+    std::string bytes(kFrameHeaderBytes, '\0');
+    std::memcpy(bytes.data(), header, kFrameHeaderBytes);
     return bytes + record;
 }
-/// The record at the front; none where it is torn or garbage.
-std::optional<std::string_view> unframed(std::string_view bytes) {
-    std::uint32_t head[2];
-    if (bytes.size() < kHeader) return std::nullopt;
-    std::memcpy(head, bytes.data(), kHeader);
-    bytes.remove_prefix(kHeader);
-    if (head[0] == 0 || head[0] > bytes.size()) return std::nullopt;
-    bytes = bytes.substr(0, head[0]);
-    return checksum(bytes) == head[1] ? std::optional(bytes) : std::nullopt;
+/// The first record in `bytes`; none if it is torn or its checksum does not match.
+std::optional<std::string_view> read_frame(std::string_view bytes) {
+    std::uint32_t header[2];
+    if (bytes.size() < kFrameHeaderBytes) return std::nullopt;
+    std::memcpy(header, bytes.data(), kFrameHeaderBytes);
+    bytes.remove_prefix(kFrameHeaderBytes);
+    if (header[0] == 0 || header[0] > bytes.size()) return std::nullopt;
+    bytes = bytes.substr(0, header[0]);
+    return checksum(bytes) == header[1] ? std::optional(bytes) : std::nullopt;
 }
 
-/// A line that found the disk full must not silence the log from then on: a failed stream writes nothing
-/// more.
+/// Clears the stream's error state first: after a line that met a full disk, the stream would otherwise write
+/// nothing more.
 std::ostream& log() {
     std::cerr.clear();
     return std::cerr << "journal: ";
@@ -231,11 +246,11 @@
 std::string serialize_message(const Message& message) {
     JournalEntry entry;
     entry.message = message;
-    return record_of(entry);
+    return serialize_entry(entry);
 }
 Message parse_message_record(std::string_view record) {
-    Reader reader(record);
-    reader.number<std::uint8_t>();  // its kind
+    RecordReader reader(record);
+    reader.number<std::uint8_t>();  // the record type
     const auto id = reader.number<MessageId>();
     return read_entry(id, reader).message;
 }
@@ -249,77 +264,80 @@
     if (fd_ >= 0) ::close(fd_);
 }
 
-Journal::Journal(std::filesystem::path folder, std::size_t disk_bytes, OnReadError unreadable)
-    : folder_(std::move(folder)), most_(disk_bytes - std::min(disk_bytes, kFolder)) {
+Journal::Journal(std::filesystem::path folder, std::size_t disk_bytes, OnReadError on_read_error)
+    : folder_(std::move(folder)), max_disk_bytes_(disk_bytes - std::min(disk_bytes, kFolderBytes)) {
     std::error_code ignored;
-    std::filesystem::remove(folder_ / "journal.new", ignored);  // a compaction that was cut off
-    live_ += kHeader + epoch_record(clock_.epoch()).size();
-    recover(unreadable);
-    most_ -= std::min(most_, aside_bytes());
-    if (in_blocks(size_) > most_) log() << "too large: " << size_ << " bytes in a room of " << most_ << '\n';
+    std::filesystem::remove(folder_ / "journal.new", ignored);  // left by an interrupted compaction
+    max_live_bytes_ += kFrameHeaderBytes + serialize_epoch(clock_.epoch()).size();
+    recover(on_read_error);
+    max_disk_bytes_ -= std::min(max_disk_bytes_, aside_bytes());
+    if (round_up_to_blocks(file_bytes_) > max_disk_bytes_)
+        log() << "too large: " << file_bytes_ << " bytes in a room of " << max_disk_bytes_ << '\n';
     if (compact()) return;
     open_file();
-    const std::string epoch = epoch_record(clock_.epoch());
-    if (epoch_in_file_ != clock_.epoch() && room_for(kHeader + epoch.size())) stale_ = !append(epoch);
+    const std::string epoch = serialize_epoch(clock_.epoch());
+    if (epoch_in_file_ != clock_.epoch() && has_room_for(kFrameHeaderBytes + epoch.size()))
+        file_is_stale_ = !append(epoch);
 }
 
-/// The file as it is, without what is torn at its end.
+/// Opens the existing file for appending and cuts off what is torn at its end.
 void Journal::open_file() {
     file_ = Descriptor(open_retrying_interrupts(folder_ / "journal", O_WRONLY | O_CREAT | O_APPEND, 0600));
-    if (file_.get() >= 0 && ::ftruncate(file_.get(), static_cast<off_t>(size_)) == 0) return;
+    if (file_.get() >= 0 && ::ftruncate(file_.get(), static_cast<off_t>(file_bytes_)) == 0) return;
     throw std::system_error(
         errno, std::system_category(), "the journal in " + folder_.string() + " cannot be written");
 }
 
-void Journal::recover(OnReadError unreadable) {
+void Journal::recover(OnReadError on_read_error) {
     FileContents file = read_file_with_retries(folder_ / "journal");
     if (file.error == std::errc::no_such_file_or_directory) return;
-    if (file.error && unreadable == OnReadError::Throw)
+    if (file.error && on_read_error == OnReadError::Throw)
         throw JournalReadError(file.error, "the journal in " + folder_.string() + " cannot be read");
-    if (file.error) return keep_aside(file.error.message());
+    if (file.error) return move_aside(file.error.message());
     const std::string& bytes = file.bytes;
-    while (const auto record = unframed(std::string_view(bytes).substr(size_))) {
+    while (const auto record = read_frame(std::string_view(bytes).substr(file_bytes_))) {
         if (!apply(*record)) break;
-        size_ += kHeader + record->size();
+        file_bytes_ += kFrameHeaderBytes + record->size();
     }
-    if (size_ < bytes.size())
-        log() << "torn or spoilt from byte " << size_ << " of " << bytes.size() << ": " << entries_.size()
-              << " messages before it are kept, the rest is dropped\n";
+    if (file_bytes_ < bytes.size())
+        log() << "torn or spoilt from byte " << file_bytes_ << " of " << bytes.size() << ": "
+              << entries_.size() << " messages before it are kept, the rest is dropped\n";
 }
 
-/// Files that could not be read at an earlier start stay for the operators, and count as disk.
+/// The disk space of files that could not be read at an earlier start. They are left to the operators and
+/// count towards the limit.
 std::size_t Journal::aside_bytes() const {
     std::size_t bytes = 0;
     std::error_code ignored;
     for (const auto& file : std::filesystem::directory_iterator(folder_, ignored)) {
-        if (!file.path().filename().string().starts_with(kAsideName)) continue;
+        if (!file.path().filename().string().starts_with(kAsideFilePrefix)) continue;
         std::error_code failed;
         const auto size = file.file_size(failed);
-        if (!failed) bytes += in_blocks(static_cast<std::size_t>(size));
+        if (!failed) bytes += round_up_to_blocks(static_cast<std::size_t>(size));
     }
     return bytes;
 }
 
-/// Throws where it cannot be told whether a name is free.
-std::filesystem::path Journal::free_aside_name() const {
+/// Throws if the file system does not tell whether a name is in use.
+std::filesystem::path Journal::unused_aside_path() const {
     for (int number = 1;; ++number) {
-        const auto name = folder_ / (std::string(kAsideName) + std::to_string(number));
-        if (!std::filesystem::exists(std::filesystem::symlink_status(name))) return name;
+        const auto path = folder_ / (std::string(kAsideFilePrefix) + std::to_string(number));
+        if (!std::filesystem::exists(std::filesystem::symlink_status(path))) return path;
     }
 }
 
-void Journal::keep_aside(const std::string& why) {
-    const std::filesystem::path name = free_aside_name();
+void Journal::move_aside(const std::string& reason) {
+    const std::filesystem::path path = unused_aside_path();
     std::error_code failed;
-    std::filesystem::rename(folder_ / "journal", name, failed);
+    std::filesystem::rename(folder_ / "journal", path, failed);
     if (failed) throw JournalReadError(failed, "the unreadable journal cannot be kept aside");
-    log() << "cannot be read, kept aside as " << name.filename() << ": " << why << std::endl;
+    log() << "cannot be read, kept aside as " << path.filename() << ": " << reason << std::endl;
 }
 
-/// One line where it begins, however many records meet it.
-void Journal::say(Fault fault, const std::string& what) {
+/// Logs one line when a fault begins, however many records it affects.
+void Journal::log_fault(Fault fault, const std::string& text) {
     if (fault == Fault::CannotWrite) counters().add(Counter::JournalWriteFailures);
-    if (std::exchange(told_, fault) != fault) log() << what << '\n';
+    if (std::exchange(logged_fault_, fault) != fault) log() << text << '\n';
 }
 
 const JournalEntry* Journal::find(MessageId id) const {
@@ -328,203 +346,222 @@
 }
 
 std::vector<const JournalEntry*> Journal::entries_by_arrival() const {
-    std::vector<const JournalEntry*> all;
-    for (const auto& [id, entry] : entries_) all.push_back(&entry);
-    std::sort(all.begin(), all.end(),
+    std::vector<const JournalEntry*> sorted;
+    for (const auto& [id, entry] : entries_) sorted.push_back(&entry);
+    std::sort(sorted.begin(), sorted.end(),
         [](const JournalEntry* a, const JournalEntry* b) { return a->arrival < b->arrival; });
-    return all;
+    return sorted;
 }
 
-std::size_t Journal::cost(const JournalEntry& entry) { return kHeader + size_of(entry) + kGrowth; }
+std::size_t Journal::max_bytes_of(const JournalEntry& entry) {
+    return kFrameHeaderBytes + max_record_bytes(entry) + kMaxEntryGrowthBytes;
+}
 
-/// What a record says, done to the entries: the same for one just written and for one read back.
+/// Applies a record to the entries, whether it was just written or read back from the file. Returns false if
+/// the record is invalid.
 bool Journal::apply(std::string_view record) try {
-    Reader reader(record);
-    const auto kind = static_cast<Kind>(reader.number<std::uint8_t>());
+    RecordReader reader(record);
+    const auto type = static_cast<RecordType>(reader.number<std::uint8_t>());
     const auto id = reader.number<MessageId>();
-    if (kind == Kind::Entry) {
+    if (type == RecordType::Entry) {
         JournalEntry entry = read_entry(id, reader);
         if (entries_.contains(id)) return false;
-        entry.arrival = ++arrivals_;
-        live_ += cost(entry);
-        if (!entry.notice) ++unended_;
+        entry.arrival = ++arrival_count_;
+        max_live_bytes_ += max_bytes_of(entry);
+        if (!entry.notice) ++open_message_count_;
         entries_.emplace(id, std::move(entry));
         return true;
     }
-    if (kind == Kind::Banned || kind == Kind::Unbanned) {
-        const std::string target = reader.text();
-        const std::size_t bytes = kHeader + ban_record(target, true).size();
-        if (kind == Kind::Banned && bans_.insert(target).second) live_ += bytes;
-        if (kind == Kind::Unbanned && bans_.erase(target) > 0) live_ -= bytes;
+    if (type == RecordType::EndpointDisabled || type == RecordType::EndpointEnabled) {
+        const std::string endpoint = reader.text();
+        const std::size_t bytes = kFrameHeaderBytes + serialize_disabled(endpoint, true).size();
+        if (type == RecordType::EndpointDisabled && disabled_endpoints_.insert(endpoint).second)
+            max_live_bytes_ += bytes;
+        if (type == RecordType::EndpointEnabled && disabled_endpoints_.erase(endpoint) > 0)
+            max_live_bytes_ -= bytes;
         return true;
     }
-    if (kind == Kind::Epoch) {
+    if (type == RecordType::Epoch) {
         epoch_in_file_ = read_epoch(reader);
         clock_.resume(*epoch_in_file_);
         return true;
     }
-    if (kind == Kind::Over) {
-        keep_over(reader.time(), id);
+    if (type == RecordType::EndedId) {
+        add_ended_id(reader.time(), id);
         return true;
     }
     const auto found = entries_.find(id);
     if (found == entries_.end()) return true;
     JournalEntry& entry = found->second;
-    live_ -= cost(entry);
-    if (kind == Kind::Begun || kind == Kind::Connecting) {
+    max_live_bytes_ -= max_bytes_of(entry);
+    if (type == RecordType::StartedOrWritten || type == RecordType::Connecting) {
         entry.ambiguous_attempt = entry.first_possible_run();
         const PersistentTime since = reader.time();
-        entry.open_attempt = StartedAttempt{since, reader.text(), kind == Kind::Begun};
+        entry.open_attempt = StartedAttempt{since, reader.text(), type == RecordType::StartedOrWritten};
         ++entry.attempts;
-    } else if (kind == Kind::Written) {
+    } else if (type == RecordType::Written) {
         if (entry.open_attempt) entry.open_attempt->written = true;
-    } else if (kind == Kind::NeverRan) {
+    } else if (type == RecordType::NeverRan) {
         entry.open_attempt.reset();
-    } else if (kind == Kind::Withdrawn) {
+    } else if (type == RecordType::Withdrawn) {
         entry.open_attempt.reset();
         if (entry.attempts > 0) --entry.attempts;
-    } else if (kind == Kind::MayHaveRun) {
-        if (!entry.ambiguous_attempt)
-            entry.ambiguous_attempt =
-                std::move(entry.open_attempt);  // by its outcome, written on record or not
+    } else if (type == RecordType::MayHaveRun) {
+        // The outcome decides, whether or not the journal holds the record that the attempt was written.
+        if (!entry.ambiguous_attempt) entry.ambiguous_attempt = std::move(entry.open_attempt);
         entry.open_attempt.reset();
-    } else if (kind == Kind::Ended) {
-        if (!entry.notice) --unended_;
+    } else if (type == RecordType::Ended) {
+        if (!entry.notice) --open_message_count_;
         entry.notice = read_notice(reader);
         std::string().swap(entry.message.body);
     } else {
-        if (!entry.notice) --unended_;
-        keep_over(entry.message.deadline, id);
+        if (!entry.notice) --open_message_count_;
+        add_ended_id(entry.message.deadline, id);
         entries_.erase(found);
         return true;
     }
-    live_ += cost(entry);
+    max_live_bytes_ += max_bytes_of(entry);
     return true;
 } catch (const std::out_of_range&) {
     return false;
 }
 
-void Journal::keep_over(PersistentTime until, MessageId id) {
-    over_.emplace(until, id);
-    live_ += kOverCost;
-    while (static_cast<double>(over_.size() * kOverCost) > kOverShare * static_cast<double>(most_))
-        drop_over();
+void Journal::add_ended_id(PersistentTime until, MessageId id) {
+    ended_ids_.emplace(until, id);
+    max_live_bytes_ += kEndedIdRecordBytes;
+    while (static_cast<double>(ended_ids_.size() * kEndedIdRecordBytes) >
+           kMaxEndedIdsShare * static_cast<double>(max_disk_bytes_))
+        drop_earliest_ended_id();
 }
-void Journal::drop_over() {
-    over_.erase(over_.begin());
-    live_ -= kOverCost;
+void Journal::drop_earliest_ended_id() {
+    ended_ids_.erase(ended_ids_.begin());
+    max_live_bytes_ -= kEndedIdRecordBytes;
 }
 void Journal::forget_ended_ids(PersistentTime now) {
-    while (!over_.empty() && over_.begin()->first <= now) drop_over();
+    while (!ended_ids_.empty() && ended_ids_.begin()->first <= now) drop_earliest_ended_id();
 }
 
 bool Journal::accept(const Message& message) {
     JournalEntry entry;
     entry.message = message;
-    const auto most_live = static_cast<std::size_t>(kLiveShare * static_cast<double>(most_));
+    const auto max_live = static_cast<std::size_t>(kMaxLiveShare * static_cast<double>(max_disk_bytes_));
     if (entries_.contains(message.id)) return false;
-    if (live_ + cost(entry) > most_live) {
-        say(Fault::Full, "full: " + std::to_string(entries_.size()) + " messages held, no more are taken on");
+    if (max_live_bytes_ + max_bytes_of(entry) > max_live) {
+        log_fault(
+            Fault::Full, "full: " + std::to_string(entries_.size()) + " messages held, no more are taken on");
         return false;
     }
-    const std::string record = record_of(entry);
+    const std::string record = serialize_entry(entry);
     return append(record) && apply(record);
 }
-bool Journal::start_attempt(MessageId id, const std::string& target, PersistentTime now) {
-    const Writer writer = Writer(Kind::Connecting)
-                              .number(id)
-                              .time(now)
-                              .text(std::string_view(target).substr(0, kLongestTarget));
+bool Journal::start_attempt(MessageId id, const std::string& endpoint, PersistentTime now) {
+    const RecordWriter writer = RecordWriter(RecordType::Connecting)
+                                    .number(id)
+                                    .time(now)
+                                    .text(std::string_view(endpoint).substr(0, kMaxEndpointNameBytes));
     return append(writer.bytes()) && apply(writer.bytes());
 }
 bool Journal::mark_attempt_written(MessageId id) {
-    const Writer writer = Writer(Kind::Written).number(id);
+    const RecordWriter writer = RecordWriter(RecordType::Written).number(id);
     return append(writer.bytes()) && apply(writer.bytes());
 }
 bool Journal::end_attempt(MessageId id, bool never_ran) {
-    return write(Writer(never_ran ? Kind::NeverRan : Kind::MayHaveRun).number(id).bytes());
+    return record_event(
+        RecordWriter(never_ran ? RecordType::NeverRan : RecordType::MayHaveRun).number(id).bytes());
+}
+bool Journal::withdraw_attempt(MessageId id) {
+    return record_event(RecordWriter(RecordType::Withdrawn).number(id).bytes());
+}
+bool Journal::delivered(MessageId id) {
+    return record_event(RecordWriter(RecordType::Delivered).number(id).bytes());
+}
+bool Journal::confirm_notice(MessageId id) {
+    return record_event(RecordWriter(RecordType::NoticeConfirmed).number(id).bytes());
 }
-bool Journal::withdraw_attempt(MessageId id) { return write(Writer(Kind::Withdrawn).number(id).bytes()); }
-bool Journal::delivered(MessageId id) { return write(Writer(Kind::Delivered).number(id).bytes()); }
-bool Journal::confirm_notice(MessageId id) { return write(Writer(Kind::Confirmed).number(id).bytes()); }
 bool Journal::end(MessageId id, EndNotice notice) {
-    Writer writer(Kind::Ended);
+    RecordWriter writer(RecordType::Ended);
     writer.number(id).number<std::uint8_t>(notice.bounced).number<std::int64_t>(notice.retry_after.count());
-    return write(writer.bytes());
+    return record_event(writer.bytes());
 }
-bool Journal::write_pending() { return !stale_ || compact(); }
+bool Journal::write_pending() { return !file_is_stale_ || compact(); }
 
-bool Journal::set_endpoint_disabled(const std::string& target, bool on) {
-    if (bans_.contains(target) == on) return true;
-    const std::string record = ban_record(target, on);
+bool Journal::set_endpoint_disabled(const std::string& endpoint, bool disabled) {
+    if (disabled_endpoints_.contains(endpoint) == disabled) return true;
+    const std::string record = serialize_disabled(endpoint, disabled);
     return append(record) && apply(record);
 }
 
-/// What has happened counts also where it cannot be written now: the next compaction brings it.
-bool Journal::write(const std::string& record) {
-    const bool kept = append(record);
-    if (!kept) stale_ = true;
+/// Applies an event that has already happened, even if it cannot be written now; the next compaction writes
+/// it.
+bool Journal::record_event(const std::string& record) {
+    const bool appended = append(record);
+    if (!appended) file_is_stale_ = true;
     apply(record);
-    return kept;
+    return appended;
 }
 
-bool Journal::room_for(std::size_t bytes) const {
-    return in_blocks(size_ + bytes) + in_blocks(live_ + bytes) <= most_;
+bool Journal::has_room_for(std::size_t bytes) const {
+    return round_up_to_blocks(file_bytes_ + bytes) + round_up_to_blocks(max_live_bytes_ + bytes) <=
+           max_disk_bytes_;
 }
 
 bool Journal::append(const std::string& record) {
-    const std::string bytes = framed(record);
-    // The file counts as memory, and all of it is read at the next start.
-    if (size_ > kLeastCompaction && size_ > kStaleTimes * live_) compact();
-    const bool compacted = (!stale_ && room_for(bytes.size())) || compact();
-    if (!room_for(bytes.size())) {
-        say(Fault::Full, "full: no room for a record beside " + std::to_string(size_) + " bytes");
+    const std::string bytes = add_frame(record);
+    // The size is limited because the file counts as memory and the next start reads all of it.
+    if (file_bytes_ > kMinCompactionBytes && file_bytes_ > kMinCompactionRatio * max_live_bytes_) compact();
+    const bool ready = (!file_is_stale_ && has_room_for(bytes.size())) || compact();
+    if (!has_room_for(bytes.size())) {
+        log_fault(Fault::Full, "full: no room for a record beside " + std::to_string(file_bytes_) + " bytes");
         return false;
     }
-    if (!compacted) return false;
+    if (!ready) return false;
     const std::error_code failed = write_all(file_.get(), bytes);
     if (!failed) {
-        size_ += bytes.size();
-        told_ = Fault::None;
+        file_bytes_ += bytes.size();
+        logged_fault_ = Fault::None;
         return true;
     }
-    say(Fault::CannotWrite, "cannot be written: " + failed.message());
-    // Half a record would hide all that is appended behind it.
-    stale_ = ::ftruncate(file_.get(), static_cast<off_t>(size_)) != 0;
+    log_fault(Fault::CannotWrite, "cannot be written: " + failed.message());
+    // A partial record would make all records appended behind it unreadable.
+    file_is_stale_ = ::ftruncate(file_.get(), static_cast<off_t>(file_bytes_)) != 0;
     return false;
 }
 
-/// An attempt costs as much as there is to write: while a disk fails, most of the time is left for the rest.
+/// An attempt takes time in proportion to what there is to write. Pauses after failed attempts leave most of
+/// the time for other work while the disk fails.
 bool Journal::compact() {
-    const auto begun = std::chrono::steady_clock::now();
-    if (begun < compact_again_at_) return false;
-    if (write_anew()) return true;
-    const auto ended = std::chrono::steady_clock::now();
-    if (ended - begun > kCheapCompaction) compact_again_at_ = ended + kPauseTimes * (ended - begun);
+    const auto started_at = std::chrono::steady_clock::now();
+    if (started_at < next_compaction_at_) return false;
+    if (rewrite_file()) return true;
+    const auto ended_at = std::chrono::steady_clock::now();
+    if (ended_at - started_at > kMaxCompactionTimeWithoutPause)
+        next_compaction_at_ = ended_at + kCompactionPauseFactor * (ended_at - started_at);
     return false;
 }
 
-/// Writes the entries to a new file and puts it in the place of the old one.
-bool Journal::write_anew() {
-    std::string bytes = framed(epoch_record(clock_.epoch()));
-    for (const std::string& target : bans_) bytes += framed(ban_record(target, true));
-    for (const JournalEntry* entry : entries_by_arrival()) bytes += framed(record_of(*entry));
-    for (const auto& [until, id] : over_) bytes += framed(Writer(Kind::Over).number(id).time(until).bytes());
-    if (in_blocks(size_) + in_blocks(bytes.size()) > most_) return false;
-    const auto fresh = folder_ / "journal.new";
-    Descriptor file(open_retrying_interrupts(fresh, O_WRONLY | O_CREAT | O_TRUNC | O_APPEND, 0600));
+/// Writes the entries to a new file and replaces the old file by it.
+bool Journal::rewrite_file() {
+    std::string bytes = add_frame(serialize_epoch(clock_.epoch()));
+    for (const std::string& endpoint : disabled_endpoints_)
+        bytes += add_frame(serialize_disabled(endpoint, true));
+    for (const JournalEntry* entry : entries_by_arrival()) bytes += add_frame(serialize_entry(*entry));
+    for (const auto& [until, id] : ended_ids_)
+        bytes += add_frame(RecordWriter(RecordType::EndedId).number(id).time(until).bytes());
+    if (round_up_to_blocks(file_bytes_) + round_up_to_blocks(bytes.size()) > max_disk_bytes_) return false;
+    const auto new_path = folder_ / "journal.new";
+    Descriptor file(open_retrying_interrupts(new_path, O_WRONLY | O_CREAT | O_TRUNC | O_APPEND, 0600));
     std::error_code failed;
     if (file.get() < 0) failed = std::error_code(errno, std::system_category());
     if (!failed) failed = write_all(file.get(), bytes);
-    if (!failed) std::filesystem::rename(fresh, folder_ / "journal", failed);
+    if (!failed) std::filesystem::rename(new_path, folder_ / "journal", failed);
     if (failed) {
-        say(Fault::CannotWrite, "cannot be written anew: " + failed.message());
-        std::filesystem::remove(fresh, failed);
+        log_fault(Fault::CannotWrite, "cannot be written anew: " + failed.message());
+        std::filesystem::remove(new_path, failed);
         return false;
     }
     file_ = std::move(file);
-    size_ = bytes.size();
-    stale_ = false;
+    file_bytes_ = bytes.size();
+    file_is_stale_ = false;
     return true;
 }
 
--- a/src/net/journal.hpp
+++ b/src/net/journal.hpp
@@ -1,7 +1,8 @@
-/// What a forwarder owes, kept in files that outlast its process.
+/// The messages that a forwarder has accepted and not finished, kept in files that outlive its process.
 ///
-/// Records are appended with length and checksum. What is written to a file outlasts the process without a
-/// sync; only the last record can be torn. The entries in memory are the truth; the file follows them.
+/// Records are appended with their length and checksum. Data that has been written to a file survives the end
+/// of the process without a sync, so only the last record can be torn. The entries in memory are
+/// authoritative; the file follows them.
 #pragma once
 
 #include <chrono>
@@ -23,36 +24,39 @@
 
 using cometspoke::MessageId;
 
-/// A message as its client handed it in. Class and tenant go by name: their order may change.
+/// A message as its client enqueued it. It names its class and tenant because their order in the
+/// configuration may change.
 struct Message {
     MessageId id = 0;
     std::string message_class, tenant, key;
     std::int64_t destination = 0;
     PersistentTime deadline{};
     std::string body;
-    /// Messages of a sequential class that share it go one at a time, in the order of their arrival.
+    /// Messages of a sequential class with the same order key are sent one at a time, in order of arrival.
     std::optional<std::uint64_t> order_key{};
-    /// Its class as it is: a later configuration may not know it, or mean something else by it.
+    /// The settings of its class when the message was accepted. A later configuration may lack the class or
+    /// define it differently.
     std::optional<cometspoke::ClassSettings> class_settings{};
 };
 struct StartedAttempt {
     PersistentTime since{};
     std::string endpoint;
-    bool written =
-        true;  ///< in part or whole; before that it waits for its connection and has surely not run
+    /// True from the moment at which part of the request may have been written. Until then the attempt waits
+    /// for its connection and has certainly not run.
+    bool written = true;
 };
 /// How a message ended that was not delivered.
 struct EndNotice {
-    bool bounced = false;  ///< else dead
+    bool bounced = false;  ///< otherwise the message is dead
     std::chrono::milliseconds retry_after{0};
 };
 struct JournalEntry {
     Message message;
     std::uint32_t attempts = 0;
-    std::optional<StartedAttempt> ambiguous_attempt;  ///< the first attempt that may have run
-    std::optional<StartedAttempt> open_attempt;       ///< the one without an outcome
-    std::optional<EndNotice> notice;                  ///< the message is over, and this is not confirmed yet
-    std::uint64_t arrival = 0;                        ///< its place in the order of taking on
+    std::optional<StartedAttempt> ambiguous_attempt;  ///< the first earlier attempt that may have run
+    std::optional<StartedAttempt> open_attempt;       ///< the attempt that has no outcome yet
+    std::optional<EndNotice> notice;  ///< set once the message has ended, until the platform confirms it
+    std::uint64_t arrival = 0;        ///< position in the order of acceptance
     /// The first attempt that may have run if the process ended now.
     std::optional<StartedAttempt> first_possible_run() const {
         return ambiguous_attempt || (open_attempt && !open_attempt->written) ? ambiguous_attempt
@@ -60,8 +64,9 @@
     }
 };
 
-/// A message as bytes and back, for another process. Throws std::out_of_range where the bytes are no message.
+/// Converts a message to bytes for another process.
 std::string serialize_message(const Message& message);
+/// Reads what serialize_message() wrote. Throws std::out_of_range if the bytes are too short for a message.
 Message parse_message_record(std::string_view record);
 
 class Descriptor {
@@ -71,14 +76,14 @@
     Descriptor& operator=(Descriptor&& other) noexcept;
     ~Descriptor();
     int get() const { return fd_; }
-    /// Another owner closes it.
+    /// Gives up ownership: another owner closes the descriptor.
     void release() { fd_ = -1; }
 
 private:
     int fd_;
 };
 
-/// There is a journal, and none of its bytes can be had now.
+/// A journal file exists, but reading it failed.
 class JournalReadError : public std::system_error {
 public:
     using std::system_error::system_error;
@@ -86,91 +91,95 @@
 
 class Journal {
 public:
-    /// What to do with a journal that cannot be read: tell the caller, who may try again, or keep the file
-    /// aside under another name and begin anew. It is never written over.
+    /// How to handle a journal that cannot be read: throw, so that the caller may try again, or rename the
+    /// file and begin a new one. An unreadable file is never overwritten.
     enum class OnReadError { Throw, KeepAside };
 
-    /// Reads back what an earlier process owed. Throws JournalReadError, or another std::system_error where
-    /// the folder cannot be used now.
+    /// Restores the messages of an earlier process. Throws JournalReadError, or another std::system_error if
+    /// the folder cannot be used at present.
     Journal(
-        std::filesystem::path folder, std::size_t disk_bytes, OnReadError unreadable = OnReadError::Throw);
+        std::filesystem::path folder, std::size_t disk_bytes, OnReadError on_read_error = OnReadError::Throw);
 
-    /// The clock of all its times, which goes on over restarts.
+    /// The clock of all times in the journal. It continues across restarts.
     const PersistentClock& clock() const { return clock_; }
 
     const std::map<MessageId, JournalEntry>& entries() const { return entries_; }
     const JournalEntry* find(MessageId id) const;
-    /// How many of the entries are messages that are still to be delivered or ended.
-    std::size_t open_message_count() const { return unended_; }
-    /// In the order in which they were taken on.
+    /// The number of entries whose message has been neither delivered nor ended.
+    std::size_t open_message_count() const { return open_message_count_; }
+    /// The entries in the order in which their messages were accepted.
     std::vector<const JournalEntry*> entries_by_arrival() const;
 
-    /// What has ended, by the end of its time: none of it may be taken on anew. As much as there is room for.
-    const std::multimap<PersistentTime, MessageId>& ended_ids() const { return over_; }
+    /// Ids of finished messages by their deadline; none of them may be accepted again. Only as many are kept
+    /// as there is room for.
+    const std::multimap<PersistentTime, MessageId>& ended_ids() const { return ended_ids_; }
     void forget_ended_ids(PersistentTime now);
 
-    /// False where it could not be kept: nothing is owed then.
+    /// Returns false if the message could not be recorded; the forwarder is then not responsible for it.
     [[nodiscard]] bool accept(const Message& message);
-    /// It counts from here on. False where it could not be kept: it must not begin then.
-    [[nodiscard]] bool start_attempt(MessageId id, const std::string& target, PersistentTime now);
-    /// The first byte of its call is about to go. False where it could not be kept: none must go then.
+    /// Counts the attempt from this call on. Returns false if it could not be recorded; it must not start
+    /// then.
+    [[nodiscard]] bool start_attempt(MessageId id, const std::string& endpoint, PersistentTime now);
+    /// Records that the first byte of the call is about to be written. Returns false if this could not be
+    /// recorded; nothing must be written then.
     [[nodiscard]] bool mark_attempt_written(MessageId id);
 
-    // What has happened counts here even where it cannot be kept. They return false then: a process that
-    // ends before `write_pending` succeeds leaves a file that does not tell it.
+    // The following functions change the entries even if the change cannot be recorded. They return false in
+    // that case: if the process ends before `write_pending` succeeds, the file lacks the change.
 
-    /// The attempt that is out has an outcome.
+    /// The open attempt has an outcome.
     [[nodiscard]] bool end_attempt(MessageId id, bool never_ran);
-    /// It was not begun after all, and does not count.
+    /// The open attempt was not started after all, and does not count.
     [[nodiscard]] bool withdraw_attempt(MessageId id);
     [[nodiscard]] bool delivered(MessageId id);
     [[nodiscard]] bool end(MessageId id, EndNotice notice);
     [[nodiscard]] bool confirm_notice(MessageId id);
-    /// Whether the file holds all that has been told to this journal.
-    bool up_to_date() const { return !stale_; }
-    /// Tries to bring it there; false where that fails, or has failed too shortly before.
+    /// Whether the file holds every change that was made to this journal.
+    bool up_to_date() const { return !file_is_stale_; }
+    /// Tries to write the changes that the file lacks. Returns false if that fails, or if it failed too
+    /// recently to be tried again.
     [[nodiscard]] bool write_pending();
 
-    /// Targets that operators have taken out by hand.
-    const std::set<std::string>& disabled_endpoints() const { return bans_; }
-    /// False where it could not be kept: nothing has changed then.
-    bool set_endpoint_disabled(const std::string& target, bool on);
+    /// Endpoints that operators have disabled.
+    const std::set<std::string>& disabled_endpoints() const { return disabled_endpoints_; }
+    /// Returns false if the change could not be recorded; nothing has changed then.
+    bool set_endpoint_disabled(const std::string& endpoint, bool disabled);
 
 private:
     /// What keeps records out of the file.
     enum class Fault { None, Full, CannotWrite };
 
-    void recover(OnReadError unreadable);
-    void keep_aside(const std::string& why);
-    std::filesystem::path free_aside_name() const;
+    void recover(OnReadError on_read_error);
+    void move_aside(const std::string& reason);
+    std::filesystem::path unused_aside_path() const;
     std::size_t aside_bytes() const;
     void open_file();
     bool apply(std::string_view record);
     bool append(const std::string& record);
     bool compact();
-    bool write_anew();
-    void say(Fault fault, const std::string& what);
-    bool write(const std::string& record);
-    bool room_for(std::size_t bytes) const;
-    static std::size_t cost(const JournalEntry& entry);
-    void keep_over(PersistentTime until, MessageId id);
-    void drop_over();
+    bool rewrite_file();
+    void log_fault(Fault fault, const std::string& text);
+    bool record_event(const std::string& record);
+    bool has_room_for(std::size_t bytes) const;
+    static std::size_t max_bytes_of(const JournalEntry& entry);
+    void add_ended_id(PersistentTime until, MessageId id);
+    void drop_earliest_ended_id();
 
     std::filesystem::path folder_;
     PersistentClock clock_;
     std::optional<PersistentClock::Epoch> epoch_in_file_;  // the last one that was read
-    Fault told_ = Fault::None;  // the last one that the log has named, until a record is kept again
-    std::size_t most_;          // bytes that both files together may take
-    std::size_t size_ = 0;      // of the file
-    std::size_t live_ = 0;      // at most so much after a compaction
-    bool stale_ = false;        // the file lacks something: it must be written anew before the next record
-    std::chrono::steady_clock::time_point compact_again_at_{};  // after one that failed
+    Fault logged_fault_ = Fault::None;  // the last fault in the log; reset when a record is written again
+    std::size_t max_disk_bytes_;        // for the old and the new file together
+    std::size_t file_bytes_ = 0;
+    std::size_t max_live_bytes_ = 0;  // the largest size that the file can have after a compaction
+    bool file_is_stale_ = false;      // the file lacks a change and must be rewritten before the next record
+    std::chrono::steady_clock::time_point next_compaction_at_{};  // the earliest time, after a failed one
     Descriptor file_;
     std::map<MessageId, JournalEntry> entries_;
-    std::set<std::string> bans_;
-    std::multimap<PersistentTime, MessageId> over_;
-    std::size_t unended_ = 0;
-    std::uint64_t arrivals_ = 0;
+    std::set<std::string> disabled_endpoints_;
+    std::multimap<PersistentTime, MessageId> ended_ids_;
+    std::size_t open_message_count_ = 0;
+    std::uint64_t arrival_count_ = 0;
 };
 
 }  // namespace lockgw
