--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -178,7 +178,7 @@
         });
     }
     void take() try {
-        const ReadResult read = read_now(socket_, asio::buffer(owner_.in_));
+        const ReadResult read = read_available(socket_, asio::buffer(owner_.in_));
         if (read.result == SocketResult::NotReady) return await();
         if (read.result != SocketResult::Done) return close();
         if (last_) return discard(read.count);
@@ -359,7 +359,7 @@
         return;
     }
     counters().add(Counter::AcceptRetries);
-    const auto pause = std::make_shared<asio::steady_timer>(io_, kShortagePause);
+    const auto pause = std::make_shared<asio::steady_timer>(io_, kShortageRetryDelay);
     pause->async_wait([this, pause, connection](auto) { serve(connection); });
 }
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -141,12 +141,12 @@
         counters().add(Counter::AgentRetries);
         renew();
         if (!local) return begin();
-        const auto pause = std::make_shared<asio::steady_timer>(io_, kShortagePause);
-        if (std::chrono::steady_clock::now() + kShortagePause >= until_) return fail(error.message());
+        const auto pause = std::make_shared<asio::steady_timer>(io_, kShortageRetryDelay);
+        if (std::chrono::steady_clock::now() + kShortageRetryDelay >= until_) return fail(error.message());
         pause->async_wait(guarded([pause](DiscoveryConnection& self) { self.begin(); }));
     }
     void write() {
-        bytes_ = bytes_of(request_);
+        bytes_ = serialize_http(request_);
         boost::system::error_code ignored;
         stream_->socket().non_blocking(true, ignored);
         // the stream's own limit holds for its own operations only
--- a/src/net/endpoint_caller.cpp
+++ b/src/net/endpoint_caller.cpp
@@ -159,7 +159,7 @@
         socket_.close(ignored);
         short_of_ = true;
         counters().add(Counter::ConnectRetries);
-        const auto pause = std::make_shared<asio::steady_timer>(owner_.io_, kShortagePause);
+        const auto pause = std::make_shared<asio::steady_timer>(owner_.io_, kShortageRetryDelay);
         pause->async_wait(guarded([this, pause](auto) { connect(); }));
     }
 
@@ -229,7 +229,7 @@
             request_.body() = std::move(only.body);
         }
         request_.content_length(request_.body().size());
-        bytes_ = bytes_of(request_);
+        bytes_ = serialize_http(request_);
         write_all(socket_, bytes_, guarded([this](auto failed) {
             if (failed) return end(Outcome::ConnectFailed);
             read();
@@ -242,7 +242,7 @@
             guarded([this](auto failed) { classify(failed) == SocketResult::Cancelled ? ended() : take(); }));
     }
     void take() {
-        const ReadResult read_result = read_now(socket_, asio::buffer(owner_.in_));
+        const ReadResult read_result = read_available(socket_, asio::buffer(owner_.in_));
         if (read_result.result == SocketResult::NotReady) return read();
         if (read_result.result != SocketResult::Done) return ended();
         const bool first = answer_.empty();
@@ -279,7 +279,7 @@
     void give_up(Outcome otherwise) {
         ReadResult read_result;
         for (int reads = 0; reads < kMostReads; ++reads) {
-            read_result = read_now(socket_, asio::buffer(owner_.in_));
+            read_result = read_available(socket_, asio::buffer(owner_.in_));
             if (read_result.result != SocketResult::Done) break;
             const auto state = feed(read_result.count);
             if (state == ResponseReader::State::Whole) return finish();
@@ -392,7 +392,7 @@
 }
 
 /// Another target may get its address: no connection made to the one that has gone may carry its calls.
-void EndpointCaller::forget(EndpointId endpoint) {
+void EndpointCaller::remove_endpoint(EndpointId endpoint) {
     places_.erase(endpoint);
     close_idle(endpoint);
 }
--- a/src/net/endpoint_caller.hpp
+++ b/src/net/endpoint_caller.hpp
@@ -48,7 +48,7 @@
     /// `kind` as in the settings: it tells how many messages one call to it may carry.
     void set_address(EndpointId endpoint, const Tcp::endpoint& address, std::size_t kind);
     /// Nothing new goes there; calls that are out are waited for.
-    void forget(EndpointId endpoint);
+    void remove_endpoint(EndpointId endpoint);
     /// All attempts of one turn. Each one's outcome comes by Done, never from within this call.
     void start(std::vector<OutgoingAttempt> attempts);
     /// Its outcome comes once no other message of its call is waited for: a call is given up as a whole.
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -569,7 +569,7 @@
         target = std::move(gone);
     }
     const auto gone = directory_.apply(told, std::chrono::steady_clock::now());
-    for (const EndpointId endpoint : gone) targets_.forget(endpoint);
+    for (const EndpointId endpoint : gone) targets_.remove_endpoint(endpoint);
     ListEvent event;
     event.kind = kind;
     for (const EndpointRecord& target : told.endpoints) {
--- a/src/net/http_bytes.hpp
+++ b/src/net/http_bytes.hpp
@@ -10,7 +10,7 @@
 namespace lockgw {
 
 template <bool is_request, class Body>
-std::string bytes_of(const boost::beast::http::message<is_request, Body>& message) {
+std::string serialize_http(const boost::beast::http::message<is_request, Body>& message) {
     std::ostringstream text;
     text << message;
     return std::move(text).str();
--- a/src/net/management.cpp
+++ b/src/net/management.cpp
@@ -144,7 +144,7 @@
         answer_.keep_alive(false);
         answer_.prepare_payload();
         stream_.expires_after(kCloseAfter);
-        bytes_ = bytes_of(answer_);
+        bytes_ = serialize_http(answer_);
         beast::error_code ignored;
         stream_.socket().non_blocking(true, ignored);
         write_all(stream_.socket(), bytes_, guarded([](ManagementSession& self) { self.finish(); }));
--- a/src/net/socket_io.cpp
+++ b/src/net/socket_io.cpp
@@ -32,7 +32,7 @@
            result == SocketResult::NoRoute;
 }
 
-ReadResult read_now(boost::asio::ip::tcp::socket& socket, boost::asio::mutable_buffer buffer) {
+ReadResult read_available(boost::asio::ip::tcp::socket& socket, boost::asio::mutable_buffer buffer) {
     int errors = 0;
     for (int reads = 0; reads < kMostReads; ++reads) {
         if (reads > 0) counters().add(Counter::ReadRetries);
--- a/src/net/socket_io.hpp
+++ b/src/net/socket_io.hpp
@@ -41,14 +41,14 @@
 
 /// Reads what has come into `buffer`. Interruptions are gone over. An error counts once a second read
 /// confirms it: the system tells the end of a connection again, and what was only momentary has passed.
-ReadResult read_now(boost::asio::ip::tcp::socket& socket, boost::asio::mutable_buffer buffer);
+ReadResult read_available(boost::asio::ip::tcp::socket& socket, boost::asio::mutable_buffer buffer);
 
 /// For acceptors that are accepted from with async_accept: a connection that was aborted in the queue is
 /// reported. Asio would wait for the next one to come instead, and leave those behind it in the queue.
 inline const boost::asio::socket_base::enable_connection_aborted kReportAborted{true};
 
 /// After a shortage a write or connect is tried again so much later.
-constexpr std::chrono::milliseconds kShortagePause{5};
+constexpr std::chrono::milliseconds kShortageRetryDelay{5};
 /// A write error counts when so many in a row tell it.
 constexpr int kErrorsThatConfirm = 3;
 
@@ -99,7 +99,7 @@
     }
     void start_later() {
         const auto pause =
-            std::make_shared<boost::asio::steady_timer>(socket_.get_executor(), kShortagePause);
+            std::make_shared<boost::asio::steady_timer>(socket_.get_executor(), kShortageRetryDelay);
         pause->async_wait([self = this->shared_from_this(), pause](const auto&) { self->start(); });
     }
 
