--- a/src/net/endpoint_caller.cpp
+++ b/src/net/endpoint_caller.cpp
@@ -247,18 +247,18 @@
         if (read_result.result != SocketResult::Done) return ended();
         const bool first = answer_.empty();
         switch (feed(read_result.count)) {
-            case ResponseReader::State::Whole:
+            case ResponseReader::State::Complete:
                 return finish();
-            case ResponseReader::State::Spoilt:
+            case ResponseReader::State::Malformed:
                 return end(Outcome::MalformedResponse);
-            case ResponseReader::State::Open:
+            case ResponseReader::State::Incomplete:
                 break;
         }
         // An answer that has begun must end soon: it holds a slot, and some never end.
         if (!call_.empty() && first && !answer_.empty())
             wait_until(std::min<Clock::time_point>(begun_ + longest(), Clock::now() + kAnswerWait));
         // Delivered, and the head is read: the outcome must not wait for a body that means nothing.
-        if (!call_.empty() && !several() && answer_.says_delivered() && answer_.head_read()) {
+        if (!call_.empty() && !several() && answer_.has_ok_status() && answer_.header_complete()) {
             owner_.finishing(shared_from_this());
             deliver(outcomes());
         }
@@ -268,10 +268,10 @@
     /// the call may have its outcome.
     ResponseReader::State feed(std::size_t count) {
         const auto state = answer_.feed({owner_.in_.data(), count});
-        const auto wait = answer_.told_wait(longest_wait(owner_.config_));
+        const auto wait = answer_.retry_after(longest_wait(owner_.config_));
         if (!wait || wait_until_) return state;
         wait_until_ = Clock::now() + *wait;
-        if (state == ResponseReader::State::Open || call_.empty()) owner_.waits_({endpoint_, *wait});
+        if (state == ResponseReader::State::Incomplete || call_.empty()) owner_.waits_({endpoint_, *wait});
         return state;
     }
     /// By us. An answer that has come meanwhile still tells how it ended; one that crosses this, for how long
@@ -282,8 +282,8 @@
             read_result = read_available(socket_, asio::buffer(owner_.in_));
             if (read_result.result != SocketResult::Done) break;
             const auto state = feed(read_result.count);
-            if (state == ResponseReader::State::Whole) return finish();
-            if (state == ResponseReader::State::Spoilt) break;
+            if (state == ResponseReader::State::Complete) return finish();
+            if (state == ResponseReader::State::Malformed) break;
         }
         if (!answer_.empty()) otherwise = Outcome::MalformedResponse;
         const bool crossing = read_result.result == SocketResult::NotReady;
@@ -299,7 +299,7 @@
     }
     /// By the target: that may be the end of an answer which tells no length.
     void ended() {
-        if (answer_.ended() == ResponseReader::State::Whole) return finish();
+        if (answer_.end_of_stream() == ResponseReader::State::Complete) return finish();
         if (!call_.empty() && answer_.empty() && rested_) owner_.lost(endpoint_, *rested_);
         end(answer_.empty() ? Outcome::ConnectionLost : Outcome::MalformedResponse);
     }
@@ -316,7 +316,7 @@
         auto told = call_.empty() ? std::vector<OutcomeEvent>() : outcomes();
         const auto call = std::exchange(call_, {});
         // first: the decision on this outcome may want the connection
-        answer_.reusable() && !half_closed_ ? owner_.now_idle(self) : owner_.drop(self);
+        answer_.allows_reuse() && !half_closed_ ? owner_.now_idle(self) : owner_.drop(self);
         report(call, std::move(told));
     }
     /// Nothing more is read: what has come so far decides. A first line of 200 is true by itself where it
@@ -325,7 +325,7 @@
         std::vector<OutcomeEvent> told(call_.size());
         for (std::size_t i = 0; i < told.size(); ++i) {
             told[i].outcome = given_up_[i].value_or(otherwise);
-            if (!several() && answer_.says_delivered())
+            if (!several() && answer_.has_ok_status())
                 told[i].outcome = Outcome::Delivered, told[i].terminal = true;
         }
         const auto self = shared_from_this();
--- a/src/net/response_reader.hpp
+++ b/src/net/response_reader.hpp
@@ -1,6 +1,7 @@
-/// A target's answer to one call: bytes in, what they say out. Pure: no sockets, no clock.
+/// Incremental reader for an endpoint's HTTP response to one call. It uses neither sockets nor a clock.
 ///
-/// Targets are other firms' systems: what they send may be noise, without end, or more than belongs to it.
+/// Endpoints are systems of other companies: what they send may be malformed, endless or longer than the
+/// response.
 #pragma once
 
 #include <boost/beast/core/buffers_to_string.hpp>
@@ -16,30 +17,31 @@
 
 namespace lockgw {
 
-/// The body of an answer to one message means nothing: it is counted, and kept only where it is asked for.
+/// A body whose size is checked and whose text is kept only on request, because the body of a response to a
+/// single message has no meaning.
 struct OptionalBody {
-    static constexpr std::uint64_t kMost = 64 * 1024;  ///< the protocol's limit
+    static constexpr std::uint64_t kMaxBytes = 64 * 1024;  ///< set by the protocol
     struct value_type {
-        bool kept = false;
+        bool keep = false;
         std::string text;
     };
     struct reader {
         template <bool isRequest, class Fields>
         reader(boost::beast::http::header<isRequest, Fields>&, value_type& body) : body_(body) {}
-        /// The parser forgets its own complaint of a told length where some of the body has come with the
-        /// head.
+        /// Checks the Content-Length again: the parser drops its own error about it if part of the body
+        /// arrives together with the header.
         template <class Length>
-        void init(const Length& told, boost::beast::error_code& failed) {
-            failed = {};
-            if (told && *told > kMost) failed = boost::beast::http::error::body_limit;
+        void init(const Length& content_length, boost::beast::error_code& error) {
+            error = {};
+            if (content_length && *content_length > kMaxBytes) error = boost::beast::http::error::body_limit;
         }
         template <class Buffers>
-        std::size_t put(const Buffers& buffers, boost::beast::error_code& failed) {
-            failed = {};
-            if (body_.kept) body_.text += boost::beast::buffers_to_string(buffers);
+        std::size_t put(const Buffers& buffers, boost::beast::error_code& error) {
+            error = {};
+            if (body_.keep) body_.text += boost::beast::buffers_to_string(buffers);
             return boost::beast::buffer_bytes(buffers);
         }
-        void finish(boost::beast::error_code& failed) { failed = {}; }
+        void finish(boost::beast::error_code& error) { error = {}; }
 
     private:
         value_type& body_;
@@ -49,52 +51,56 @@
 class ResponseReader {
 public:
     enum class State {
-        Open,    ///< more must come
-        Whole,   ///< sound to its end
-        Spoilt,  ///< cannot be read; nothing behind it can
+        Incomplete,
+        Complete,   ///< well-formed to its end
+        Malformed,  ///< neither this response nor anything after it can be read
     };
 
-    /// `keep_body`: to a call with several messages; the body tells how each one ended.
-    explicit ResponseReader(bool keep_body = false) : keep_body_(keep_body) { next(); }
+    /// `keep_body`: for a batch call, where the body states how each message ended.
+    explicit ResponseReader(bool keep_body = false) : keep_body_(keep_body) { start_response(); }
 
     State feed(std::string_view bytes);
-    /// The connection ended: the end of an answer that tells no length.
-    State ended();
+    /// Handles the end of the connection, which ends a response without a length.
+    State end_of_stream();
 
-    /// Nothing of it has come; what stood ahead of it (1xx) does not count.
+    /// Whether nothing of the response has arrived; interim responses (1xx) do not count.
     bool empty() const { return empty_; }
-    /// Its first line was read and says 200: the message is delivered, whatever becomes of the rest.
-    bool says_delivered() const { return first_line_ == 200u; }
-    bool head_read() const { return parser_->is_header_done(); }
-    /// The wait that it tells, as soon as that line of the head has come, whatever becomes of the rest.
-    std::optional<cometspoke::Time> told_wait(cometspoke::Time longest) const;
-    /// Whether the connection may carry another call: nothing came behind the answer.
-    bool reusable() const { return state_ == State::Whole && bytes_.empty() && parser_->get().keep_alive(); }
-    /// What the head says, by the protocol's table; `reports`: it may carry a load report.
-    cometspoke::OutcomeEvent outcome(bool reports) const;
-    /// The same for each message of a call with several, in the order of `messages`.
+    /// Whether the status line has been read and has the code 200: the message is delivered, whatever
+    /// follows.
+    bool has_ok_status() const { return status_ == 200u; }
+    bool header_complete() const { return parser_->is_header_done(); }
+    /// The value of Retry-After, limited to `max`. It is available once its header line has arrived, whatever
+    /// follows.
+    std::optional<cometspoke::Time> retry_after(cometspoke::Time max) const;
+    /// Whether the connection may carry another call, which requires that nothing followed the response.
+    bool allows_reuse() const {
+        return state_ == State::Complete && unread_.empty() && parser_->get().keep_alive();
+    }
+    /// What the header means by the protocol's table. `load_reports`: the header may carry a load report.
+    cometspoke::OutcomeEvent outcome(bool load_reports) const;
+    /// The outcome of each message of a batch call, in the order of `messages`.
     std::vector<cometspoke::OutcomeEvent> outcomes(
-        const std::vector<cometspoke::MessageId>& messages, bool reports) const;
+        const std::vector<cometspoke::MessageId>& messages, bool load_reports) const;
 
 private:
-    void next();
-    void read_first_line();
-    void read_wait();
-    State spoilt() { return state_ = State::Spoilt; }
+    void start_response();
+    void read_status_line();
+    void read_retry_after();
+    State set_malformed() { return state_ = State::Malformed; }
 
     bool keep_body_;
-    // on the heap, for it can be neither copied nor assigned
+    // on the heap, because it can be neither copied nor assigned
     std::unique_ptr<boost::beast::http::response_parser<OptionalBody>> parser_;
-    std::string bytes_;           // come and not read yet
-    std::size_t lines_read_ = 0;  // so much of them is whole lines of the head, looked through for a wait
-    std::optional<double> wait_s_;
-    std::optional<unsigned> first_line_;
-    int interim_ = 0;  // answers with 1xx so far
+    std::string unread_;              // received and not parsed yet
+    std::size_t searched_bytes_ = 0;  // of them, whole header lines that were searched for Retry-After
+    std::optional<double> retry_after_s_;
+    std::optional<unsigned> status_;  // from the status line
+    int interim_responses_ = 0;
     bool empty_ = true;
-    State state_ = State::Open;
+    State state_ = State::Incomplete;
 };
 
-/// "x0=0.4,x1=25"; none where any part of it cannot be read: half a report would be a wrong one.
-std::optional<cometspoke::LoadReport> load_report_of(std::string_view text);
+/// Parses "x0=0.4,x1=25". Returns nothing if any part is unreadable, because half a report would be wrong.
+std::optional<cometspoke::LoadReport> parse_load_report(std::string_view text);
 
 }  // namespace lockgw
