--- a/src/net/endpoint_caller.cpp
+++ b/src/net/endpoint_caller.cpp
@@ -26,23 +26,33 @@
 
 namespace {
 
-constexpr auto kAnswerWait = 1s;        // from the first byte of an answer to its last
-constexpr auto kCrossing = 200ms;       // there and back: an answer that was written as its call was given up
-constexpr int kMostMissingRoutes = 20;  // connects without a route, 5 ms apart, before the target is to blame
-constexpr int kMostReads = 8;           // of one that came before that
-constexpr auto kLeastWait = 60s;        // a told wait is believed so far,
-constexpr int kWaitDeadlines = 5;       // or so many of the longest deadlines
-constexpr auto kLeastTrust = 50ms;      // a shorter rest is not to blame for a reset
-constexpr int kTrustFall = 4;           // after one a rest is trusted for so small a part of that one,
-constexpr auto kTrustRise = 10s;        // and for twice as long after each such time without another
-constexpr std::size_t kMostBatchBody = 64 * 1024;  // the protocol's limit
-
-/// No outage lasts so long that a longer wait would be worth heeding, and one spoilt figure must not shut a
-/// destination for good.
-Time longest_wait(const Config& config) {
+/// From the first byte of a response to its last.
+constexpr auto kMaxResponseDuration = 1s;
+/// A response that the endpoint wrote while its call was given up arrives within this round-trip time.
+constexpr auto kMaxLateResponseWait = 200ms;
+/// Failed connects without a route, 5 ms apart, are a local error up to this number; any further one counts
+/// against the endpoint.
+constexpr int kMaxConnectsWithoutRoute = 20;
+/// Reads of a response that arrived before its call was given up.
+constexpr int kMaxReadsOnGiveUp = 8;
+/// A Retry-After is honoured up to this time or this number of the longest deadlines, whichever is longer.
+constexpr auto kMinRetryAfterLimit = 60s;
+constexpr int kRetryAfterLimitInDeadlines = 5;
+/// A shorter idle time is not regarded as the cause of a reset.
+constexpr auto kMinIdleReuseLimit = 50ms;
+/// A reset lowers the idle time that allows reuse to the connection's idle time divided by this.
+constexpr int kIdleReuseDivisor = 4;
+/// The limit doubles after each such period without a reset.
+constexpr auto kIdleReuseDoublingTime = 10s;
+/// Set by the protocol.
+constexpr std::size_t kMaxBatchBodyBytes = 64 * 1024;
+
+/// No outage lasts long enough to justify a longer wait, and one corrupt value must not block a destination
+/// for good.
+Time max_retry_after(const Config& config) {
     Time longest{0};
     for (const auto& kind : config.settings.classes) longest = std::max(longest, kind.deadline);
-    return std::max<Time>(kLeastWait, kWaitDeadlines * longest);
+    return std::max<Time>(kMinRetryAfterLimit, kRetryAfterLimitInDeadlines * longest);
 }
 
 std::string base64(const std::string& bytes) {
@@ -52,19 +62,19 @@
     return text.append((3 - bytes.size() % 3) % 3, '=');
 }
 
-/// Of an attempt in the body of a call with several.
+/// The size that an attempt takes up in the body of a batch call.
 std::size_t size_in_batch(const OutgoingAttempt& attempt) {
-    constexpr std::size_t names = 64;  // with the id, quotes and commas
-    return names + 2 * attempt.key.size() + (attempt.body.size() + 2) / 3 * 4;
+    constexpr std::size_t kNamesBytes = 64;  // with the id, quotes and commas
+    return kNamesBytes + 2 * attempt.key.size() + (attempt.body.size() + 2) / 3 * 4;
 }
 
-std::string batch_of(const std::vector<OutgoingAttempt>& attempts) {
+std::string batch_body(const std::vector<OutgoingAttempt>& attempts) {
     Json batch = Json::array();
     for (const OutgoingAttempt& attempt : attempts) {
-        Json one{
+        Json entry{
             {"id", cometspoke::settings::format_message_id(attempt.message)}, {"body", base64(attempt.body)}};
-        if (!attempt.key.empty()) one["key"] = attempt.key;
-        batch.push_back(std::move(one));
+        if (!attempt.key.empty()) entry["key"] = attempt.key;
+        batch.push_back(std::move(entry));
     }
     return batch.dump();
 }
@@ -72,68 +82,71 @@
 }  // namespace
 
 class EndpointConnection : public std::enable_shared_from_this<EndpointConnection> {
-    /// Handlers of an earlier call or of a closed connection must not touch the present one.
+    /// Wraps a handler so that it is ignored once its call has ended or the connection was closed.
     template <class Handler>
     auto guarded(Handler handler) {
-        return [self = shared_from_this(), turn = turn_, handler](auto failed, auto&&...) {
-            if (turn == self->turn_) handler(failed);
+        return [self = shared_from_this(), generation = generation_, handler](auto error, auto&&...) {
+            if (generation == self->generation_) handler(error);
         };
     }
 
 public:
-    EndpointConnection(EndpointCaller& owner, EndpointId endpoint, const Tcp::endpoint& address)
-        : owner_(owner), endpoint_(endpoint), address_(address), socket_(owner.io_), timer_(owner.io_) {}
+    EndpointConnection(EndpointCaller& caller, EndpointId endpoint, const Tcp::endpoint& address)
+        : caller_(caller), endpoint_(endpoint), address_(address), socket_(caller.io_), timer_(caller.io_) {}
 
     EndpointId endpoint() const { return endpoint_; }
     const Tcp::endpoint& address() const { return address_; }
-    Clock::time_point begun() const { return begun_; }
+    Clock::time_point started_at() const { return started_at_; }
 
     void start(std::vector<OutgoingAttempt> attempts) {
-        begun_ = Clock::now();
-        rested_ = socket_.is_open() ? std::optional(begun_ - idle_since_) : std::nullopt;
-        ++turn_;
-        writing_ = false;
-        call_ = std::move(attempts);
-        given_up_.assign(call_.size(), std::nullopt);
-        answer_ = ResponseReader(several());
-        wait_until_.reset();
+        started_at_ = Clock::now();
+        idle_before_call_ = socket_.is_open() ? std::optional(started_at_ - idle_since_) : std::nullopt;
+        ++generation_;
+        request_started_ = false;
+        attempts_ = std::move(attempts);
+        early_outcomes_.assign(attempts_.size(), std::nullopt);
+        response_ = ResponseReader(is_batch());
+        retry_after_end_.reset();
         if (socket_.is_open()) {
-            socket_.cancel();  // the watch over an idle connection
-            return write();
+            socket_.cancel();  // the wait for a close by the endpoint while the connection was idle
+            return write_request();
         }
-        wait_until(std::min(
-            begin_by(), begun_ + std::min<Clock::duration>(longest(), owner_.config_.connect_timeout)));
+        set_timer(std::min(start_deadline(),
+            started_at_ + std::min<Clock::duration>(longest_timeout(), caller_.config_.connect_timeout)));
         connect();
     }
 
-    /// The call goes on while it carries another message that is waited for: to repeat this one before the
-    /// connection is closed would put two copies side by side.
+    /// The call goes on while another of its messages is awaited: a retry of the cancelled message before the
+    /// connection is closed would leave two copies of it active at once.
     void cancel(MessageId message) {
-        for (std::size_t i = 0; i < call_.size(); ++i)
-            if (call_[i].message == message && !given_up_[i])
-                given_up_[i] = writing_ ? Outcome::Cancelled : Outcome::Withheld;
-        if (!waited_for()) writing_ ? give_up(Outcome::Cancelled) : end(Outcome::Cancelled);
+        for (std::size_t i = 0; i < attempts_.size(); ++i)
+            if (attempts_[i].message == message && !early_outcomes_[i])
+                early_outcomes_[i] = request_started_ ? Outcome::Cancelled : Outcome::Withheld;
+        if (!has_awaited_attempt())
+            request_started_ ? give_up(Outcome::Cancelled) : end_call(Outcome::Cancelled);
     }
 
-    /// Idle: a target's close is noticed at once, and it is left before the target may close it.
-    void idle_for(Clock::duration span) {
-        ++turn_;
+    /// Keeps the connection open without a call for up to `duration`, so that it is closed before the
+    /// endpoint may close it. A close by the endpoint is noticed at once.
+    void stay_idle(Clock::duration duration) {
+        ++generation_;
         idle_since_ = Clock::now();
-        wait_until(idle_since_ + span);
+        set_timer(idle_since_ + duration);
         socket_.async_wait(
-            Tcp::socket::wait_read, guarded([this](auto) { owner_.drop(shared_from_this()); }));
+            Tcp::socket::wait_read, guarded([this](auto) { caller_.close_connection(shared_from_this()); }));
     }
-    Clock::duration rested() const { return Clock::now() - idle_since_; }
-    /// A close that has come and that the loop has not told yet would end the next call as a reset.
+    Clock::duration idle_time() const { return Clock::now() - idle_since_; }
+    /// Detects a close that has arrived but that the event loop has not reported yet; the next call on the
+    /// connection would end with a reset.
     bool still_open() {
         char byte;
-        ssize_t got = -1;
-        do got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        while (got < 0 && errno == EINTR);
-        return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+        ssize_t count = -1;
+        do count = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+        while (count < 0 && errno == EINTR);
+        return count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
     }
     void close() {
-        ++turn_;
+        ++generation_;
         boost::system::error_code ignored;
         timer_.cancel();
         socket_.close(ignored);
@@ -141,276 +154,291 @@
 
 private:
     void connect() {
-        short_of_ = false;
-        socket_.async_connect(address_, guarded([this](auto failed) {
-            const SocketResult result = classify(failed);
+        local_shortage_ = false;
+        socket_.async_connect(address_, guarded([this](auto error) {
+            const SocketResult result = classify(error);
             const bool unreachable =
-                result == SocketResult::NoRoute && ++missing_routes_ > kMostMissingRoutes;
+                result == SocketResult::NoRoute && ++connects_without_route_ > kMaxConnectsWithoutRoute;
             if (is_local_error(result) && !unreachable) return connect_later();
-            if (result != SocketResult::Done) return end(Outcome::ConnectFailed);
-            socket_.set_option(Tcp::no_delay(true), failed);
-            socket_.non_blocking(true, failed);
-            begin();
+            if (result != SocketResult::Done) return end_call(Outcome::ConnectFailed);
+            socket_.set_option(Tcp::no_delay(true), error);
+            socket_.non_blocking(true, error);
+            start_connected();
         }));
     }
-    /// Nothing has reached the target: until its time is up the call is still to be made.
+    /// Retries after a local error. Nothing has reached the endpoint, so the call may still be made until its
+    /// time is up.
     void connect_later() {
         boost::system::error_code ignored;
         socket_.close(ignored);
-        short_of_ = true;
+        local_shortage_ = true;
         counters().add(Counter::ConnectRetries);
-        const auto pause = std::make_shared<asio::steady_timer>(owner_.io_, kShortageRetryDelay);
-        pause->async_wait(guarded([this, pause](auto) { connect(); }));
+        const auto timer = std::make_shared<asio::steady_timer>(caller_.io_, kShortageRetryDelay);
+        timer->async_wait(guarded([this, timer](auto) { connect(); }));
     }
 
-    void wait_until(Clock::time_point when) {
-        timer_.expires_at(when);
-        timer_.async_wait(guarded([this, when](auto cancelled) {
-            if (!cancelled && when == timer_.expiry()) expire();
+    void set_timer(Clock::time_point expiry) {
+        timer_.expires_at(expiry);
+        timer_.async_wait(guarded([this, expiry](auto cancelled) {
+            if (!cancelled && expiry == timer_.expiry()) on_timer();
         }));
     }
-    void expire() {
-        if (call_.empty()) return owner_.drop(shared_from_this());
-        // the bound or the shortage is our own: it says nothing of the target
-        if (!writing_ && (short_of_ || Clock::now() >= begin_by())) return end(Outcome::Withheld);
-        // whether its last byte has gone is known to the system sooner than told here
-        writing_ ? give_up(Outcome::TimedOut) : end(Outcome::ConnectFailed);
+    void on_timer() {
+        if (attempts_.empty()) return caller_.close_connection(shared_from_this());
+        // The start deadline and the shortage are local: they say nothing about the endpoint.
+        if (!request_started_ && (local_shortage_ || Clock::now() >= start_deadline()))
+            return end_call(Outcome::Withheld);
+        // The system may have sent the last byte of the request before the event loop reports it, so a
+        // request whose writing has started counts as sent.
+        request_started_ ? give_up(Outcome::TimedOut) : end_call(Outcome::ConnectFailed);
     }
 
-    bool several() const { return call_.size() > 1; }
-    bool waited_for() const {
-        return std::any_of(given_up_.begin(), given_up_.end(), [](const auto& outcome) { return !outcome; });
+    bool is_batch() const { return attempts_.size() > 1; }
+    bool has_awaited_attempt() const {
+        return std::any_of(
+            early_outcomes_.begin(), early_outcomes_.end(), [](const auto& outcome) { return !outcome; });
     }
-    Time longest() const {
+    Time longest_timeout() const {
         Time longest{0};
-        for (const OutgoingAttempt& attempt : call_) longest = std::max(longest, attempt.timeout);
+        for (const OutgoingAttempt& attempt : attempts_) longest = std::max(longest, attempt.timeout);
         return longest;
     }
 
-    /// The earliest moment after which one of its messages must not begin any more.
-    Clock::time_point begin_by() const {
-        auto latest = Clock::time_point::max();
-        for (const OutgoingAttempt& attempt : call_)
-            if (attempt.start_within) latest = std::min(latest, begun_ + *attempt.start_within);
-        return latest;
+    /// The earliest time after which one of the messages must not start any more.
+    Clock::time_point start_deadline() const {
+        auto earliest = Clock::time_point::max();
+        for (const OutgoingAttempt& attempt : attempts_)
+            if (attempt.start_within) earliest = std::min(earliest, started_at_ + *attempt.start_within);
+        return earliest;
     }
 
-    /// The connection is up, perhaps late. Those that may not begin any more leave the others of their call.
-    void begin() {
-        const bool here = owner_.leads_to(endpoint_, address_);
-        std::vector<OutgoingAttempt> stay, leave;
-        for (std::size_t i = 0; i < call_.size(); ++i) {
-            const bool may = here && !given_up_[i] && owner_.begin_(call_[i].message, call_[i].attempt);
-            (may ? stay : leave).push_back(std::move(call_[i]));
+    /// Continues the call on a new connection, which may have been established late. Attempts that may not
+    /// start any more are removed from the call; the others go on.
+    void start_connected() {
+        const bool address_valid = caller_.has_address(endpoint_, address_);
+        std::vector<OutgoingAttempt> started, withheld;
+        for (std::size_t i = 0; i < attempts_.size(); ++i) {
+            const bool may_start = address_valid && !early_outcomes_[i] &&
+                                   caller_.may_start_(attempts_[i].message, attempts_[i].attempt);
+            (may_start ? started : withheld).push_back(std::move(attempts_[i]));
         }
-        call_ = std::move(stay);
-        given_up_.assign(call_.size(), std::nullopt);
-        answer_ = ResponseReader(several());
-        call_.empty() ? owner_.now_idle(shared_from_this()) : write();
-        std::vector<OutcomeEvent> told(leave.size());
-        for (OutcomeEvent& one : told) one.outcome = Outcome::Withheld;
-        report(leave, std::move(told));
+        attempts_ = std::move(started);
+        early_outcomes_.assign(attempts_.size(), std::nullopt);
+        response_ = ResponseReader(is_batch());
+        attempts_.empty() ? caller_.add_idle(shared_from_this()) : write_request();
+        std::vector<OutcomeEvent> events(withheld.size());
+        for (OutcomeEvent& event : events) event.outcome = Outcome::Withheld;
+        report(withheld, std::move(events));
     }
 
-    void write() {
-        writing_ = true;
-        const auto left = begun_ + longest() - Clock::now();
-        wait_until(begun_ + longest());
-        request_ = {http::verb::post, several() ? "/v1/messages:batch" : "/v1/messages", 11};
-        request_.set(http::field::host, owner_.config_.name);
-        const auto budget = std::chrono::duration_cast<std::chrono::milliseconds>(left).count();
+    void write_request() {
+        request_started_ = true;
+        const auto time_left = started_at_ + longest_timeout() - Clock::now();
+        set_timer(started_at_ + longest_timeout());
+        request_ = {http::verb::post, is_batch() ? "/v1/messages:batch" : "/v1/messages", 11};
+        request_.set(http::field::host, caller_.config_.name);
+        const auto budget = std::chrono::duration_cast<std::chrono::milliseconds>(time_left).count();
         request_.set("X-Budget-Ms", std::to_string(std::max<std::int64_t>(1, budget)));
-        if (several()) {
-            request_.body() = batch_of(call_);
+        if (is_batch()) {
+            request_.body() = batch_body(attempts_);
         } else {
-            OutgoingAttempt& only = call_.front();
-            request_.set("X-Call-Id", cometspoke::settings::format_message_id(only.message));
-            if (!only.key.empty()) request_.set("Idempotency-Key", only.key);
-            request_.body() = std::move(only.body);
+            OutgoingAttempt& attempt = attempts_.front();
+            request_.set("X-Call-Id", cometspoke::settings::format_message_id(attempt.message));
+            if (!attempt.key.empty()) request_.set("Idempotency-Key", attempt.key);
+            request_.body() = std::move(attempt.body);
         }
         request_.content_length(request_.body().size());
-        bytes_ = serialize_http(request_);
-        write_all(socket_, bytes_, guarded([this](auto failed) {
-            if (failed) return end(Outcome::ConnectFailed);
-            read();
+        request_bytes_ = serialize_http(request_);
+        write_all(socket_, request_bytes_, guarded([this](auto error) {
+            if (error) return end_call(Outcome::ConnectFailed);
+            wait_for_response();
         }));
     }
 
-    void read() {
-        // whatever the wait says, the read tells whether the connection has ended
-        socket_.async_wait(Tcp::socket::wait_read,
-            guarded([this](auto failed) { classify(failed) == SocketResult::Cancelled ? ended() : take(); }));
+    void wait_for_response() {
+        // Whatever error the wait reports, only a read tells whether the connection has ended.
+        socket_.async_wait(Tcp::socket::wait_read, guarded([this](auto error) {
+            classify(error) == SocketResult::Cancelled ? on_connection_end() : read_response();
+        }));
     }
-    void take() {
-        const ReadResult read_result = read_available(socket_, asio::buffer(owner_.in_));
-        if (read_result.result == SocketResult::NotReady) return read();
-        if (read_result.result != SocketResult::Done) return ended();
-        const bool first = answer_.empty();
-        switch (feed(read_result.count)) {
+    void read_response() {
+        const ReadResult read_result = read_available(socket_, asio::buffer(caller_.read_buffer_));
+        if (read_result.result == SocketResult::NotReady) return wait_for_response();
+        if (read_result.result != SocketResult::Done) return on_connection_end();
+        const bool is_first_read = response_.empty();
+        switch (parse_response(read_result.count)) {
             case ResponseReader::State::Complete:
-                return finish();
+                return finish_response();
             case ResponseReader::State::Malformed:
-                return end(Outcome::MalformedResponse);
+                return end_call(Outcome::MalformedResponse);
             case ResponseReader::State::Incomplete:
                 break;
         }
-        // An answer that has begun must end soon: it holds a slot, and some never end.
-        if (!call_.empty() && first && !answer_.empty())
-            wait_until(std::min<Clock::time_point>(begun_ + longest(), Clock::now() + kAnswerWait));
-        // Delivered, and the head is read: the outcome must not wait for a body that means nothing.
-        if (!call_.empty() && !several() && answer_.has_ok_status() && answer_.header_complete()) {
-            owner_.finishing(shared_from_this());
-            deliver(outcomes());
+        // A response that has started must end soon: its call counts against the maximum number of calls, and
+        // some responses never end.
+        if (!attempts_.empty() && is_first_read && !response_.empty())
+            set_timer(std::min<Clock::time_point>(
+                started_at_ + longest_timeout(), Clock::now() + kMaxResponseDuration));
+        // A delivery whose header is complete is reported without waiting for the body, which has no meaning.
+        if (!attempts_.empty() && !is_batch() && response_.has_ok_status() && response_.header_complete()) {
+            caller_.add_lingering(shared_from_this());
+            report_call(outcomes());
         }
-        read();
+        wait_for_response();
     }
-    /// A wait binds from when it was written, which is now at the latest: the rest may be long in coming, and
-    /// the call may have its outcome.
-    ResponseReader::State feed(std::size_t count) {
-        const auto state = answer_.feed({owner_.in_.data(), count});
-        const auto wait = answer_.retry_after(longest_wait(owner_.config_));
-        if (!wait || wait_until_) return state;
-        wait_until_ = Clock::now() + *wait;
-        if (state == ResponseReader::State::Incomplete || call_.empty()) owner_.waits_({endpoint_, *wait});
+    /// A Retry-After counts from when the endpoint wrote it, which is now at the latest. It is reported at
+    /// once where the rest of the response may take long or the call already has its outcome.
+    ResponseReader::State parse_response(std::size_t count) {
+        const auto state = response_.feed({caller_.read_buffer_.data(), count});
+        const auto retry_after = response_.retry_after(max_retry_after(caller_.config_));
+        if (!retry_after || retry_after_end_) return state;
+        retry_after_end_ = Clock::now() + *retry_after;
+        if (state == ResponseReader::State::Incomplete || attempts_.empty())
+            caller_.on_retry_after_({endpoint_, *retry_after});
         return state;
     }
-    /// By us. An answer that has come meanwhile still tells how it ended; one that crosses this, for how long
-    /// to wait.
+    /// Ends the call from this side. A response that has already arrived still decides the outcome, and one
+    /// that is still on its way may carry a Retry-After.
     void give_up(Outcome otherwise) {
         ReadResult read_result;
-        for (int reads = 0; reads < kMostReads; ++reads) {
-            read_result = read_available(socket_, asio::buffer(owner_.in_));
+        for (int reads = 0; reads < kMaxReadsOnGiveUp; ++reads) {
+            read_result = read_available(socket_, asio::buffer(caller_.read_buffer_));
             if (read_result.result != SocketResult::Done) break;
-            const auto state = feed(read_result.count);
-            if (state == ResponseReader::State::Complete) return finish();
+            const auto state = parse_response(read_result.count);
+            if (state == ResponseReader::State::Complete) return finish_response();
             if (state == ResponseReader::State::Malformed) break;
         }
-        if (!answer_.empty()) otherwise = Outcome::MalformedResponse;
-        const bool crossing = read_result.result == SocketResult::NotReady;
+        if (!response_.empty()) otherwise = Outcome::MalformedResponse;
+        const bool await_late_response = read_result.result == SocketResult::NotReady;
         const auto self = shared_from_this();
-        end(otherwise, crossing);
-        if (!crossing) return;
-        ++turn_;  // the end of its write is of no interest any more
+        end_call(otherwise, await_late_response);
+        if (!await_late_response) return;
+        ++generation_;  // the result of the write does not matter any more
         half_closed_ = true;
         boost::system::error_code ignored;
         socket_.shutdown(Tcp::socket::shutdown_send, ignored);
-        wait_until(Clock::now() + kCrossing);
-        read();
+        set_timer(Clock::now() + kMaxLateResponseWait);
+        wait_for_response();
     }
-    /// By the target: that may be the end of an answer which tells no length.
-    void ended() {
-        if (answer_.end_of_stream() == ResponseReader::State::Complete) return finish();
-        if (!call_.empty() && answer_.empty() && rested_) owner_.lost(endpoint_, *rested_);
-        end(answer_.empty() ? Outcome::ConnectionLost : Outcome::MalformedResponse);
+    /// The endpoint closed the connection, which may be the end of a response without a length.
+    void on_connection_end() {
+        if (response_.end_of_stream() == ResponseReader::State::Complete) return finish_response();
+        if (!attempts_.empty() && response_.empty() && idle_before_call_)
+            caller_.record_idle_reset(endpoint_, *idle_before_call_);
+        end_call(response_.empty() ? Outcome::ConnectionLost : Outcome::MalformedResponse);
     }
 
     std::vector<OutcomeEvent> outcomes() const {
-        const bool reports = owner_.config_.load_reports;
-        if (!several()) return {answer_.outcome(reports)};
+        const bool load_reports = caller_.config_.load_reports;
+        if (!is_batch()) return {response_.outcome(load_reports)};
         std::vector<MessageId> messages;
-        for (const OutgoingAttempt& attempt : call_) messages.push_back(attempt.message);
-        return answer_.outcomes(messages, reports);
+        for (const OutgoingAttempt& attempt : attempts_) messages.push_back(attempt.message);
+        return response_.outcomes(messages, load_reports);
     }
-    void finish() {
+    void finish_response() {
         const auto self = shared_from_this();
-        auto told = call_.empty() ? std::vector<OutcomeEvent>() : outcomes();
-        const auto call = std::exchange(call_, {});
-        // first: the decision on this outcome may want the connection
-        answer_.allows_reuse() && !half_closed_ ? owner_.now_idle(self) : owner_.drop(self);
-        report(call, std::move(told));
+        auto events = attempts_.empty() ? std::vector<OutcomeEvent>() : outcomes();
+        const auto attempts = std::exchange(attempts_, {});
+        // The connection is released first: the decision on this outcome may use it.
+        response_.allows_reuse() && !half_closed_ ? caller_.add_idle(self) : caller_.close_connection(self);
+        report(attempts, std::move(events));
     }
-    /// Nothing more is read: what has come so far decides. A first line of 200 is true by itself where it
-    /// speaks of one message; nothing else proves anything unless the whole answer is sound.
-    void end(Outcome otherwise, bool crossing = false) {
-        std::vector<OutcomeEvent> told(call_.size());
-        for (std::size_t i = 0; i < told.size(); ++i) {
-            told[i].outcome = given_up_[i].value_or(otherwise);
-            if (!several() && answer_.has_ok_status())
-                told[i].outcome = Outcome::Delivered, told[i].terminal = true;
+    /// Ends the call without further reads, so that what has arrived so far decides. A status line with 200
+    /// proves delivery by itself where the call carries one message; anything else proves nothing unless the
+    /// whole response is well-formed.
+    void end_call(Outcome otherwise, bool await_late_response = false) {
+        std::vector<OutcomeEvent> events(attempts_.size());
+        for (std::size_t i = 0; i < events.size(); ++i) {
+            events[i].outcome = early_outcomes_[i].value_or(otherwise);
+            if (!is_batch() && response_.has_ok_status())
+                events[i].outcome = Outcome::Delivered, events[i].terminal = true;
         }
         const auto self = shared_from_this();
-        crossing ? owner_.finishing(self) : owner_.drop(self);
-        deliver(std::move(told));
+        await_late_response ? caller_.add_lingering(self) : caller_.close_connection(self);
+        report_call(std::move(events));
+    }
+    void report_call(std::vector<OutcomeEvent> events) {
+        report(std::exchange(attempts_, {}), std::move(events));
     }
-    void deliver(std::vector<OutcomeEvent> told) { report(std::exchange(call_, {}), std::move(told)); }
-    void report(const std::vector<OutgoingAttempt>& call, std::vector<OutcomeEvent> told) {
-        if (call.empty()) return;
-        for (std::size_t i = 0; i < call.size(); ++i) {
-            told[i].message = call[i].message;
-            told[i].endpoint = call[i].endpoint;
-            told[i].attempt = call[i].attempt;
-            if (rested_)
-                told[i].connection_limit_reached = false;  // it was let in before: closed for another reason
-            if (wait_until_)
-                told[i].retry_after = std::max(Time(0), std::chrono::ceil<Time>(*wait_until_ - Clock::now()));
-            told[i].rtt = std::chrono::duration_cast<Time>(Clock::now() - begun_);
+    void report(const std::vector<OutgoingAttempt>& attempts, std::vector<OutcomeEvent> events) {
+        if (attempts.empty()) return;
+        for (std::size_t i = 0; i < attempts.size(); ++i) {
+            events[i].message = attempts[i].message;
+            events[i].endpoint = attempts[i].endpoint;
+            events[i].attempt = attempts[i].attempt;
+            // The endpoint accepted this connection before, so it is closed for another reason.
+            if (idle_before_call_) events[i].connection_limit_reached = false;
+            if (retry_after_end_)
+                events[i].retry_after =
+                    std::max(Time(0), std::chrono::ceil<Time>(*retry_after_end_ - Clock::now()));
+            events[i].rtt = std::chrono::duration_cast<Time>(Clock::now() - started_at_);
         }
-        owner_.ended(told, call_.empty());
+        caller_.report_outcomes(events, attempts_.empty());
     }
 
-    EndpointCaller& owner_;
+    EndpointCaller& caller_;
     EndpointId endpoint_;
     Tcp::endpoint address_;
     Tcp::socket socket_;
     asio::steady_timer timer_;
-    std::uint64_t turn_ = 0;
-    std::vector<OutgoingAttempt> call_;  // until their outcomes are told
-    std::vector<std::optional<Outcome>> given_up_;
-    bool writing_ = false;      // the call has begun
-    bool half_closed_ = false;  // its call was given up
-    bool short_of_ = false;     // the connect waits for what this machine lacks
-    int missing_routes_ = 0;    // in a row
-    Clock::time_point begun_{}, idle_since_{};
-    std::optional<Clock::time_point> wait_until_;  // told by its answer
-    std::optional<Clock::duration> rested_;        // before its call, where it carried one before
+    std::uint64_t generation_ = 0;                        // of the handlers that are still valid
+    std::vector<OutgoingAttempt> attempts_;               // of the call, until their outcomes are reported
+    std::vector<std::optional<Outcome>> early_outcomes_;  // of cancelled attempts
+    bool request_started_ = false;                        // the first byte may have been written
+    bool half_closed_ = false;                            // the call was given up
+    bool local_shortage_ = false;                         // connecting waits for a resource of this machine
+    int connects_without_route_ = 0;                      // in a row
+    Clock::time_point started_at_{}, idle_since_{};
+    std::optional<Clock::time_point> retry_after_end_;  // from the response
+    std::optional<Clock::duration> idle_before_call_;   // unset on the first call of a connection
     http::request<http::string_body> request_;
-    std::string bytes_;  // of the request, while they are written
-    ResponseReader answer_;
+    std::string request_bytes_;  // used until the request is written
+    ResponseReader response_;
 };
 
-EndpointCaller::EndpointCaller(asio::io_context& io, const Config& config, std::size_t most_connections,
-    Begin begin, Waits waits, Done done)
+EndpointCaller::EndpointCaller(asio::io_context& io, const Config& config, std::size_t max_connections,
+    MayStart may_start, OnRetryAfter on_retry_after, OnOutcome on_outcome)
     : io_(io),
       config_(config),
-      most_(most_connections),
-      begin_(std::move(begin)),
-      waits_(std::move(waits)),
-      done_(std::move(done)) {}
+      max_connections_(max_connections),
+      may_start_(std::move(may_start)),
+      on_retry_after_(std::move(on_retry_after)),
+      on_outcome_(std::move(on_outcome)) {}
 EndpointCaller::~EndpointCaller() = default;
 
 void EndpointCaller::set_address(EndpointId endpoint, const Tcp::endpoint& address, std::size_t kind) {
-    const auto [found, fresh] = places_.emplace(endpoint, Place{address, kind});
-    found->second.kind = kind;
-    if (fresh || found->second.address == address) return;
-    found->second.address = address;
+    const auto [state, inserted] = endpoints_.emplace(endpoint, EndpointState{address, kind});
+    state->second.kind = kind;
+    if (inserted || state->second.address == address) return;
+    state->second.address = address;
     close_idle(endpoint);
 }
 
-bool EndpointCaller::leads_to(EndpointId endpoint, const Tcp::endpoint& address) const {
-    const auto place = places_.find(endpoint);
-    return place != places_.end() && place->second.address == address;
+bool EndpointCaller::has_address(EndpointId endpoint, const Tcp::endpoint& address) const {
+    const auto state = endpoints_.find(endpoint);
+    return state != endpoints_.end() && state->second.address == address;
 }
 
-/// Another target may get its address: no connection made to the one that has gone may carry its calls.
+/// Another endpoint may get the same address, so no connection to the removed endpoint may carry calls.
 void EndpointCaller::remove_endpoint(EndpointId endpoint) {
-    places_.erase(endpoint);
+    endpoints_.erase(endpoint);
     close_idle(endpoint);
 }
 
 void EndpointCaller::start(std::vector<OutgoingAttempt> attempts) {
-    std::map<EndpointId, std::vector<OutgoingAttempt>> calls;  // one for each target that is not full yet
+    std::map<EndpointId, std::vector<OutgoingAttempt>> calls;  // the call of each endpoint that is not full
     std::map<EndpointId, std::size_t> bytes;
     for (OutgoingAttempt& attempt : attempts) {
-        const auto place = places_.find(attempt.endpoint);
-        const std::size_t most =
-            place != places_.end() ? config_.settings.kinds[place->second.kind].max_messages_per_call : 1;
+        const auto state = endpoints_.find(attempt.endpoint);
+        const std::size_t max_messages =
+            state != endpoints_.end() ? config_.settings.kinds[state->second.kind].max_messages_per_call : 1;
         const EndpointId endpoint = attempt.endpoint;
         const std::size_t size = size_in_batch(attempt);
-        if (bytes[endpoint] + size > kMostBatchBody)
+        if (bytes[endpoint] + size > kMaxBatchBodyBytes)
             start_call(std::exchange(calls[endpoint], {})), bytes[endpoint] = 0;
         bytes[endpoint] += size;
         calls[endpoint].push_back(std::move(attempt));
-        if (calls[endpoint].size() >= most)
+        if (calls[endpoint].size() >= max_messages)
             start_call(std::exchange(calls[endpoint], {})), bytes[endpoint] = 0;
     }
     for (auto& [endpoint, call] : calls) start_call(std::move(call));
@@ -418,146 +446,152 @@
 
 void EndpointCaller::start_call(std::vector<OutgoingAttempt> attempts) {
     if (attempts.empty()) return;
-    // The other side reckons a call's time by its first message: that must not be over while it is waited
-    // for.
+    // The endpoint measures a call's time by its first message, which must not expire while the call is
+    // awaited.
     std::stable_sort(attempts.begin(), attempts.end(),
         [](const OutgoingAttempt& a, const OutgoingAttempt& b) { return a.deadline > b.deadline; });
     const EndpointId endpoint = attempts.front().endpoint;
     Connection connection = take_idle(endpoint);
-    const auto place = places_.find(endpoint);
-    if (connection) {  // written at once
+    const auto state = endpoints_.find(endpoint);
+    if (connection) {  // the request is written at once
         std::erase_if(attempts, [this](const OutgoingAttempt& attempt) {
-            const bool may = begin_(attempt.message, attempt.attempt);
-            if (!may) not_sent(attempt, Outcome::Withheld);
-            return !may;
+            const bool may_start = may_start_(attempt.message, attempt.attempt);
+            if (!may_start) post_outcome(attempt, Outcome::Withheld);
+            return !may_start;
         });
         if (attempts.empty()) return connection->close();
     } else {
-        if (place == places_.end() || !make_room()) {
-            for (const OutgoingAttempt& attempt : attempts) not_sent(attempt, Outcome::Withheld);
+        if (state == endpoints_.end() || !make_room()) {
+            for (const OutgoingAttempt& attempt : attempts) post_outcome(attempt, Outcome::Withheld);
             return;
         }
-        connection = std::make_shared<EndpointConnection>(*this, endpoint, place->second.address);
+        connection = std::make_shared<EndpointConnection>(*this, endpoint, state->second.address);
     }
     for (const OutgoingAttempt& attempt : attempts)
-        attempts_.emplace(std::pair(attempt.message, attempt.attempt), connection);
-    ++calls_;
+        connections_by_attempt_.emplace(std::pair(attempt.message, attempt.attempt), connection);
+    ++active_call_count_;
     connection->start(std::move(attempts));
 }
 
-void EndpointCaller::not_sent(const OutgoingAttempt& attempt, Outcome outcome) {
+void EndpointCaller::post_outcome(const OutgoingAttempt& attempt, Outcome outcome) {
     OutcomeEvent event;
     event.message = attempt.message;
     event.endpoint = attempt.endpoint;
     event.attempt = attempt.attempt;
     event.outcome = outcome;
-    asio::post(io_, [this, event] { done_(event); });
+    asio::post(io_, [this, event] { on_outcome_(event); });
 }
 
 void EndpointCaller::cancel(MessageId message, std::uint32_t attempt) {
-    const auto found = attempts_.find({message, attempt});
-    if (found != attempts_.end()) Connection(found->second)->cancel(message);
+    const auto found = connections_by_attempt_.find({message, attempt});
+    if (found != connections_by_attempt_.end()) Connection(found->second)->cancel(message);
 }
 
 void EndpointCaller::close_idle(EndpointId endpoint) {
-    const auto all = idle_;
-    for (const Connection& connection : all)
-        if (connection->endpoint() == endpoint) drop(connection);
+    const auto idle = idle_;
+    for (const Connection& connection : idle)
+        if (connection->endpoint() == endpoint) close_connection(connection);
 }
 
 void EndpointCaller::close_all_idle() {
     for (const Connection& connection : std::exchange(idle_, {})) connection->close();
-    for (const Connection& connection : std::exchange(finishing_, {})) connection->close();
+    for (const Connection& connection : std::exchange(lingering_, {})) connection->close();
 }
 
 std::vector<EndpointCaller::ActiveCall> EndpointCaller::active_calls() const {
     std::map<const EndpointConnection*, ActiveCall> calls;
-    for (const auto& [attempt, connection] : attempts_) {
+    for (const auto& [attempt, connection] : connections_by_attempt_) {
         ActiveCall& call = calls[connection.get()];
         call.endpoint = connection->endpoint();
-        call.started_at = connection->begun();
+        call.started_at = connection->started_at();
         call.attempts.push_back(attempt);
     }
-    std::vector<ActiveCall> all;
-    for (auto& [connection, call] : calls) all.push_back(std::move(call));
-    std::sort(all.begin(), all.end(),
+    std::vector<ActiveCall> sorted;
+    for (auto& [connection, call] : calls) sorted.push_back(std::move(call));
+    std::sort(sorted.begin(), sorted.end(),
         [](const ActiveCall& a, const ActiveCall& b) { return a.started_at < b.started_at; });
-    return all;
+    return sorted;
 }
 
 EndpointCaller::Connection EndpointCaller::take_idle(EndpointId endpoint) {
     while (true) {
         const auto found = std::find_if(idle_.rbegin(), idle_.rend(),
-            [endpoint](const Connection& one) { return one->endpoint() == endpoint; });
+            [endpoint](const Connection& candidate) { return candidate->endpoint() == endpoint; });
         if (found == idle_.rend()) return nullptr;
         const Connection connection = *found;
         idle_.erase(std::next(found).base());
-        if (connection->rested() <= trusted(endpoint) && connection->still_open()) return connection;
+        if (connection->idle_time() <= idle_reuse_limit(endpoint) && connection->still_open())
+            return connection;
         connection->close();
     }
 }
 
-Clock::duration EndpointCaller::IdleTrust::now(Clock::time_point time) const {
-    const auto doubled = (time - at) / kTrustRise;
-    const bool whole = span == Clock::duration::max() || doubled >= 20;
-    return whole ? Clock::duration::max() : span * (1 << doubled);
+Clock::duration EndpointCaller::IdleReuseLimit::at(Clock::time_point now) const {
+    const auto doublings = (now - lowered_at) / kIdleReuseDoublingTime;
+    const bool unlimited = limit == Clock::duration::max() || doublings >= 20;
+    return unlimited ? Clock::duration::max() : limit * (1 << doublings);
 }
-void EndpointCaller::IdleTrust::lose(Clock::duration rested, Clock::time_point time) {
-    span = std::min(now(time), std::max<Clock::duration>(kLeastTrust, rested / kTrustFall));
-    at = time;
+void EndpointCaller::IdleReuseLimit::lower(Clock::duration idle_time, Clock::time_point now) {
+    limit = std::min(at(now), std::max<Clock::duration>(kMinIdleReuseLimit, idle_time / kIdleReuseDivisor));
+    lowered_at = now;
 }
 
-Clock::duration EndpointCaller::trusted(EndpointId endpoint) const {
-    const auto time = Clock::now();
-    const auto place = places_.find(endpoint);
-    return std::min(
-        trust_.now(time), place != places_.end() ? place->second.trust.now(time) : Clock::duration::max());
+Clock::duration EndpointCaller::idle_reuse_limit(EndpointId endpoint) const {
+    const auto now = Clock::now();
+    const auto state = endpoints_.find(endpoint);
+    return std::min(common_idle_reuse_limit_.at(now),
+        state != endpoints_.end() ? state->second.idle_reuse_limit.at(now) : Clock::duration::max());
 }
 
-/// One target's process may have died; where another cuts calls off soon after, it is the way there.
-void EndpointCaller::lost(EndpointId endpoint, Clock::duration rested) {
-    if (rested < kLeastTrust) return;
-    const auto time = Clock::now();
-    if (lost_at_ && lost_last_ != endpoint && time - *lost_at_ < kTrustRise) trust_.lose(rested, time);
-    if (const auto place = places_.find(endpoint); place != places_.end())
-        place->second.trust.lose(rested, time);
-    lost_last_ = endpoint;
-    lost_at_ = time;
+/// One endpoint's process may have died. Resets by two endpoints in short succession point to the network
+/// path, so the limit that is common to all endpoints is lowered as well.
+void EndpointCaller::record_idle_reset(EndpointId endpoint, Clock::duration idle_time) {
+    if (idle_time < kMinIdleReuseLimit) return;
+    const auto now = Clock::now();
+    if (last_reset_at_ && last_reset_endpoint_ != endpoint && now - *last_reset_at_ < kIdleReuseDoublingTime)
+        common_idle_reuse_limit_.lower(idle_time, now);
+    if (const auto state = endpoints_.find(endpoint); state != endpoints_.end())
+        state->second.idle_reuse_limit.lower(idle_time, now);
+    last_reset_endpoint_ = endpoint;
+    last_reset_at_ = now;
 }
 
-void EndpointCaller::now_idle(const Connection& connection) {
-    std::erase(finishing_, connection);
-    // a tenth before the told limit: a request that crosses the target's close ends as a reset
-    const auto span = config_.settings.connection_idle_limit * 9 / 10;
-    if (!leads_to(connection->endpoint(), connection->address()) || span <= Time(0))
+void EndpointCaller::add_idle(const Connection& connection) {
+    std::erase(lingering_, connection);
+    // The connection is closed a tenth before the configured limit, because a request that crosses the
+    // endpoint's close ends with a reset.
+    const auto duration = config_.settings.connection_idle_limit * 9 / 10;
+    if (!has_address(connection->endpoint(), connection->address()) || duration <= Time(0))
         return connection->close();
     idle_.push_back(connection);
-    connection->idle_for(span);
+    connection->stay_idle(duration);
 }
 
-void EndpointCaller::finishing(const Connection& connection) { finishing_.push_back(connection); }
+void EndpointCaller::add_lingering(const Connection& connection) { lingering_.push_back(connection); }
 
-void EndpointCaller::drop(const Connection& connection) {
+void EndpointCaller::close_connection(const Connection& connection) {
     std::erase(idle_, connection);
-    std::erase(finishing_, connection);
+    std::erase(lingering_, connection);
     connection->close();
 }
 
-/// Under the limit of descriptors: an idle connection goes first, then one whose call has its outcome.
+/// Keeps the number of connections under the descriptor limit. An idle connection is closed first, then one
+/// whose call has its outcome.
 bool EndpointCaller::make_room() {
-    const std::size_t most = most_ - std::min(elsewhere_, most_ / 2);
-    if (calls_ + idle_.size() + finishing_.size() < most) return true;
+    const std::size_t available = max_connections_ - std::min(reserved_connections_, max_connections_ / 2);
+    if (active_call_count_ + idle_.size() + lingering_.size() < available) return true;
     if (!idle_.empty())
-        drop(Connection(idle_.front()));
-    else if (!finishing_.empty())
-        drop(Connection(finishing_.front()));
-    return calls_ + idle_.size() + finishing_.size() < most;
+        close_connection(Connection(idle_.front()));
+    else if (!lingering_.empty())
+        close_connection(Connection(lingering_.front()));
+    return active_call_count_ + idle_.size() + lingering_.size() < available;
 }
 
-void EndpointCaller::ended(const std::vector<OutcomeEvent>& outcomes, bool over) {
-    if (over) --calls_;
-    for (const OutcomeEvent& outcome : outcomes) attempts_.erase({outcome.message, outcome.attempt});
-    for (const OutcomeEvent& outcome : outcomes) done_(outcome);
+void EndpointCaller::report_outcomes(const std::vector<OutcomeEvent>& outcomes, bool call_ended) {
+    if (call_ended) --active_call_count_;
+    for (const OutcomeEvent& outcome : outcomes)
+        connections_by_attempt_.erase({outcome.message, outcome.attempt});
+    for (const OutcomeEvent& outcome : outcomes) on_outcome_(outcome);
 }
 
 }  // namespace lockgw
--- a/tests/endpoint_caller_test.cpp
+++ b/tests/endpoint_caller_test.cpp
@@ -1,4 +1,4 @@
-// Targets that answer with noise, too much or without end, and targets that come and go.
+// Endpoints that send malformed, oversized or endless responses, and endpoints that are added and removed.
 #include "net/endpoint_caller.hpp"
 
 #include "node_fixture.hpp"
@@ -6,13 +6,13 @@
 namespace lockgw {
 namespace {
 
-class TargetTest : public NodeTest {
+class EndpointCallerTest : public NodeTest {
 protected:
-    void start_with_one_slot() {
+    void start_with_one_call() {
         node.config()["settings"]["family_info"]["slots"] = 1;
         node.start_ready();
     }
-    /// Serves one message and returns once its slot is free again.
+    /// Delivers one message and returns after its response was sent.
     void expect_delivered(Client& client, const std::string& id, const std::string& kind = "safe") {
         ASSERT_EQ(enqueue(client, id, kind), "+OK");
         const Exchange call = target.next();
@@ -21,10 +21,10 @@
     }
 };
 
-// A first line of 200 is true, whatever follows; the connection is of no further use.
-class Delivered : public TargetTest, public ::testing::WithParamInterface<const char*> {};
-TEST_P(Delivered, ByAFirstLineOf200) {
-    start_with_one_slot();
+// A status line with 200 proves delivery even if the rest is malformed; the connection is not used again.
+class OkStatusLine : public EndpointCallerTest, public ::testing::WithParamInterface<const char*> {};
+TEST_P(OkStatusLine, ProvesDelivery) {
+    start_with_one_call();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
     target.next().write(GetParam());
@@ -32,7 +32,7 @@
     EXPECT_EQ(target.connections(), 2);
     EXPECT_TRUE(target.none_within(200ms));
 }
-INSTANTIATE_TEST_SUITE_P(Target, Delivered,
+INSTANTIATE_TEST_SUITE_P(EndpointCaller, OkStatusLine,
     ::testing::Values("HTTP/1.1 200 OK\r\nno colon here\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on",
@@ -40,9 +40,10 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"));
 
-// Only a sound answer proves that a message never ran: an unsafe one must not go again after any of these.
-class Doubtful : public TargetTest, public ::testing::WithParamInterface<const char*> {};
-TEST_P(Doubtful, MayHaveRun) {
+// Only a well-formed response proves that a message did not run, so an at-most-once message must not be
+// retried after any of these.
+class AmbiguousResponse : public EndpointCallerTest, public ::testing::WithParamInterface<const char*> {};
+TEST_P(AmbiguousResponse, IsNotFollowedByARetry) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
@@ -50,57 +51,59 @@
     EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
     EXPECT_TRUE(target.none_within(200ms));
 }
-INSTANTIATE_TEST_SUITE_P(Target, Doubtful,
+INSTANTIATE_TEST_SUITE_P(EndpointCaller, AmbiguousResponse,
     ::testing::Values("noise\r\n\r\n", "ICY 200 OK\r\n\r\n", "HTTP/1.1 503 X\r\nno colon here\r\n\r\n",
         "HTTP/1.1 503 X\r\nContent-Length: 100\r\n\r\nhalf",
         "HTTP/1.1 429 X\r\nRetry-After: 1\r\nX-Never-Ends: p",
         "HTTP/1.1 504 X\r\nContent-Length: 3000000000\r\n\r\nand so on"));
 
-TEST_F(TargetTest, SkipsWhatStandsAheadOfAnAnswer) {
-    start_with_one_slot();
+TEST_F(EndpointCallerTest, SkipsInterimResponses) {
+    start_with_one_call();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
     const Exchange call = target.next();
     call.write("HTTP/1.1 102 Processing\r\n\r\n");
-    std::this_thread::sleep_for(1500ms);  // longer than an answer may take once it has begun
-    // held before the first is answered: else the module may give the idle connection back in between
+    std::this_thread::sleep_for(1500ms);  // longer than a response may take once it has started
+    // accepted before the first response: otherwise the idle connection may be released in between
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");
     call.write("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     target.next().answer(200);
     EXPECT_EQ(target.connections(), 1);
 }
 
-// Targets spoil answers now and then; that is no outage, and the others must not wait for it to end.
-TEST_F(TargetTest, SpoiltAnswersNowAndThenMakeNoTargetSick) {
+// Occasional malformed responses are no outage, and other messages must not wait as if there were one.
+TEST_F(EndpointCallerTest, OccasionalMalformedResponsesLeaveAnEndpointHealthy) {
     node.start_ready();
     Client client = node.client();
     for (int i = 10; i < 40; ++i) {
-        const std::string one = "00000000000000" + std::to_string(i);
-        ASSERT_EQ(enqueue(client, one), "+OK");
+        const std::string message = "00000000000000" + std::to_string(i);
+        ASSERT_EQ(enqueue(client, message), "+OK");
         Exchange call = target.next();
-        EXPECT_EQ(call.header("X-Call-Id"), one);
+        EXPECT_EQ(call.header("X-Call-Id"), message);
         if (i % 4 == 0) {
-            const auto spoilt = Clock::now();
+            const auto failed_at = Clock::now();
             call.write("noise\r\n\r\n");
             call = target.next();
-            EXPECT_EQ(call.header("X-Call-Id"), one);
-            EXPECT_LT(Clock::now() - spoilt, 5s);
+            EXPECT_EQ(call.header("X-Call-Id"), message);
+            EXPECT_LT(Clock::now() - failed_at, 5s);
         }
         call.answer(200);
     }
 }
 
-// What waits for one target goes out in one turn: as one call where the settings allow it.
-class BatchTest : public TargetTest {
+// Messages that wait for one endpoint are sent in one event-loop iteration, as one call where the
+// settings allow it.
+class BatchTest : public EndpointCallerTest {
 protected:
-    /// Starts with one slot that `first` holds, hands the others in, and frees the slot: they go as one call.
-    Exchange batch_of(const std::vector<std::pair<std::string, std::string>>& others) {
+    /// Allows one call at a time, enqueues the others while the first message is active, and then
+    /// completes it. The others follow as one call.
+    Exchange send_batch(const std::vector<std::pair<std::string, std::string>>& others) {
         node.config()["settings"]["family_info"]["per_call"] = {3};
-        start_with_one_slot();
+        start_with_one_call();
         Client client = node.client();
         EXPECT_EQ(enqueue(client, id), "+OK");
         const Exchange first = target.next();
-        for (const auto& [one, kind] : others) EXPECT_EQ(enqueue(client, one, kind), "+OK");
+        for (const auto& [message, kind] : others) EXPECT_EQ(enqueue(client, message, kind), "+OK");
         first.answer(200);
         return target.next();
     }
@@ -112,8 +115,8 @@
     const std::string a = "00000000000000aa", b = "00000000000000bb", c = "00000000000000cc";
 };
 
-TEST_F(BatchTest, CarriesWhatOneTurnSends) {
-    const Exchange call = batch_of({{a, "keyed"}, {b, "unsafe"}, {c, "safe"}});
+TEST_F(BatchTest, CarriesMessagesOfOneLoopIteration) {
+    const Exchange call = send_batch({{a, "keyed"}, {b, "unsafe"}, {c, "safe"}});
     EXPECT_EQ(call.request.target(), "/v1/messages:batch");
     EXPECT_GT(std::stoi(call.header("X-Budget-Ms")), 0);
     const Json sent = Json::parse(call.request.body());
@@ -123,21 +126,21 @@
     EXPECT_EQ(sent[0]["id"], c);
     answer(
         call, {{{"id", a}, {"state", "ok"}}, {{"id", b}, {"state", "error"}}, {{"id", c}, {"state", "ok"}}});
-    // the fragile one may have run: it is over, and nothing comes again
+    // the at-most-once message may have run, so it has ended and is not retried
     EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", b}, {"result", "dead"}}));
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-// split+brink, roll+brink: a call's time was over for the other side with that of its first message, and its
-// answer counted for nothing, while the others were waited for.
-TEST_F(BatchTest, IsLedByTheMessageThatHasMostTime) {
+// An endpoint ends a call when the time of its first message is over. If other messages had more time, the
+// response was lost while they were still awaited.
+TEST_F(BatchTest, StartsWithTheLatestDeadline) {
     node.config()["settings"]["family_info"]["per_call"] = {3};
-    start_with_one_slot();
+    start_with_one_call();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     const Exchange first = target.next();
-    for (const auto& [one, left_ms] : {std::pair(a, 9000), std::pair(b, 30000), std::pair(c, 20000)})
-        ASSERT_EQ(enqueue(client, one, "safe", left_ms), "+OK");
+    for (const auto& [message, left_ms] : {std::pair(a, 9000), std::pair(b, 30000), std::pair(c, 20000)})
+        ASSERT_EQ(enqueue(client, message, "safe", left_ms), "+OK");
     first.answer(200);
     const Exchange call = target.next();
     const Json sent = Json::parse(call.request.body());
@@ -145,35 +148,35 @@
     EXPECT_EQ(sent[0]["id"], b);
     EXPECT_EQ(sent[1]["id"], c);
     EXPECT_EQ(sent[2]["id"], a);
-    EXPECT_GT(std::stoi(call.header("X-Budget-Ms")), 20000);  // as long as the first one has
+    EXPECT_GT(std::stoi(call.header("X-Budget-Ms")), 20000);  // the budget of the message that comes first
     EXPECT_LE(std::stoi(call.header("X-Budget-Ms")), 30000);
     call.answer(500);
 }
 
-TEST_F(BatchTest, ATurnedAwayMessageWaitsAsLongAsTold) {
-    const Exchange call = batch_of({{a, "safe"}, {b, "unsafe"}});
-    const auto told = Clock::now();
+TEST_F(BatchTest, RetriesARejectedMessageAfterRetryAfter) {
+    const Exchange call = send_batch({{a, "safe"}, {b, "unsafe"}});
+    const auto responded_at = Clock::now();
     answer(call, {{{"id", a}, {"state", "ok"}}, {{"id", b}, {"state", "later"}}}, "Retry-After: 0.7\r\n");
     const Exchange again = target.next();
     EXPECT_EQ(again.header("X-Call-Id"), b);
-    EXPECT_GE(Clock::now() - told, 700ms);
+    EXPECT_GE(Clock::now() - responded_at, 700ms);
     again.answer(200);
 }
 
-// A wait binds however the messages fared that it came with.
-TEST_F(BatchTest, AWaitBindsAlsoWhereAllWereDelivered) {
-    const Exchange call = batch_of({{a, "safe"}, {b, "safe"}});
-    const auto told = Clock::now();
+// Retry-After also holds if every message of its call was delivered.
+TEST_F(BatchTest, HonoursRetryAfterWhenAllMessagesWereDelivered) {
+    const Exchange call = send_batch({{a, "safe"}, {b, "safe"}});
+    const auto responded_at = Clock::now();
     answer(call, {{{"id", a}, {"state", "ok"}}, {{"id", b}, {"state", "ok"}}}, "Retry-After: 0.7\r\n");
     Client client = node.client();
     ASSERT_EQ(enqueue(client, c), "+OK");
     target.next().answer(200);
-    EXPECT_GE(Clock::now() - told, 700ms);
+    EXPECT_GE(Clock::now() - responded_at, 700ms);
 }
 
-// A first line of 200 says nothing of one message among several.
-TEST_F(BatchTest, AnUnreadableAnswerLeavesAllInDoubt) {
-    const Exchange call = batch_of({{a, "unsafe"}, {b, "unsafe"}});
+// In a batch call a status line with 200 says nothing about a single message.
+TEST_F(BatchTest, AMalformedResponseMakesAllAttemptsAmbiguous) {
+    const Exchange call = send_batch({{a, "unsafe"}, {b, "unsafe"}});
     call.write("HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n[{\"id\": 1");
     std::set<Json> dead;
     while (dead.size() < 2) {
@@ -185,61 +188,61 @@
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-// ticket2581: connections that had rested were ended on the way, well before the told limit and without a
-// sign. After such a reset a rested connection is not trusted with a call, for a while.
-TEST_F(TargetTest, TrustsNoRestedConnectionAfterAResetOnOne) {
-    start_with_one_slot();
+// The network path dropped idle connections without notice, well before the configured idle limit, and calls
+// on them were reset. For a while after such a reset, connections that were idle are not used for calls.
+TEST_F(EndpointCallerTest, DoesNotReuseIdleConnectionsAfterAReset) {
+    start_with_one_call();
     Client client = node.client();
     expect_delivered(client, "00000000000000a1");
-    expect_delivered(client, "00000000000000a2");  // from here on the connection is kept
-    const int kept = target.connections();
+    expect_delivered(client, "00000000000000a2");  // the connection is kept from now on
+    const int connections = target.connections();
     std::this_thread::sleep_for(200ms);
     ASSERT_EQ(enqueue(client, id), "+OK");
     target.next().hang_up();
     target.next().answer(200);
-    EXPECT_EQ(target.connections(), kept + 1);
+    EXPECT_EQ(target.connections(), connections + 1);
     std::this_thread::sleep_for(200ms);
     expect_delivered(client, "00000000000000a3");
-    EXPECT_EQ(target.connections(), kept + 2);
+    EXPECT_EQ(target.connections(), connections + 2);
 }
 
-// kumamoto-main, 350 forwarders: endpoints turned new connections away and closed them, while idle ones that
-// all the forwarders kept filled their tables.
-class NewConnection : public TargetTest, public ::testing::WithParamInterface<bool> {};
-TEST_P(NewConnection, ThatIsTurnedAwayAndClosedEndsTheKeepingOfIdleOnes) {
+// With 350 forwarders, their idle connections filled the connection tables of the endpoints, which rejected
+// calls on new connections and closed these.
+class RejectedNewConnection : public EndpointCallerTest, public ::testing::WithParamInterface<bool> {};
+TEST_P(RejectedNewConnection, StopsKeepingIdleConnectionsIfClosed) {
     const bool closed = GetParam();
     node.start_ready();
     Client client = node.client();
-    const int none = target.connections();
-    std::vector<Exchange> calls;  // the last one on a connection of its own
-    for (int i = 0; i < 2 || target.connections() < none + 2; ++i) {
+    const int initial = target.connections();
+    std::vector<Exchange> calls;  // the last one is on a separate connection
+    for (int i = 0; i < 2 || target.connections() < initial + 2; ++i) {
         ASSERT_EQ(enqueue(client, "00000000000000a" + std::to_string(i)), "+OK");
         calls.push_back(target.next());
     }
     calls.back().answer(503, closed ? "Connection: close\r\n" : "");
     calls.pop_back();
     for (const Exchange& call : calls) call.answer(200);
-    target.next().answer(200);  // the one that was turned away
+    target.next().answer(200);  // the retry of the rejected call
     expect_delivered(client, "00000000000000b1");
     std::this_thread::sleep_for(300ms);
     const int before = target.connections();
     expect_delivered(client, "00000000000000b2");
     EXPECT_EQ(target.connections(), before + (closed ? 1 : 0));
 }
-INSTANTIATE_TEST_SUITE_P(Target, NewConnection, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(EndpointCaller, RejectedNewConnection, ::testing::Bool());
 
-/// Takes no connection any more: its queue is full, and who connects hears nothing.
+/// Accepts no connections: its queue is full, so that a connect stays pending.
 class FullListener {
 public:
     FullListener() : acceptor_(io_) {
         acceptor_.open(Tcp::v4());
         acceptor_.bind({asio::ip::address_v4::loopback(), 0});
         acceptor_.listen(0);
-        for (auto& one : waiting_) {
-            one.open(Tcp::v4());
-            one.native_non_blocking(true);  // asio's own connect would wait
-            const auto to = acceptor_.local_endpoint();
-            ::connect(one.native_handle(), to.data(), static_cast<socklen_t>(to.size()));
+        for (auto& socket : waiting_) {
+            socket.open(Tcp::v4());
+            socket.native_non_blocking(true);  // asio's connect would block
+            const auto address = acceptor_.local_endpoint();
+            ::connect(socket.native_handle(), address.data(), static_cast<socklen_t>(address.size()));
         }
     }
     Tcp::endpoint address() const { return acceptor_.local_endpoint(); }
@@ -251,39 +254,41 @@
         Tcp::socket(io_), Tcp::socket(io_), Tcp::socket(io_), Tcp::socket(io_)};
 };
 
-// split+mass: the connection came up a second later, when the message's window had closed, and the call was
-// written all the same. What was not begun in time never ran, and says nothing of the target.
-TEST(Targets, BeginNothingAfterItsBound) {
+// A connection was established a second late, after the start deadline of the message, and the call was
+// written nevertheless. An attempt that did not start in time has not run, and says nothing about the
+// endpoint.
+TEST(EndpointCaller, DoesNotStartACallAfterItsStartDeadline) {
     const FullListener listener;
     Json file = make_config("127.0.0.1:1", "127.0.0.1:1");
     file["settings"]["limits"]["connect_timeout_ms"] = 30000;
     const Config config = read_config(file);
-    for (const bool bound : {true, false}) {
+    for (const bool has_start_limit : {true, false}) {
         asio::io_context io;
         std::optional<cometspoke::Outcome> outcome;
-        EndpointCaller targets(
+        EndpointCaller caller(
             io, config, 8, [](auto...) { return true; }, [](auto) {},
             [&](const cometspoke::OutcomeEvent& event) { outcome = event.outcome; });
-        targets.set_address(1, listener.address(), 0);
-        const auto within = bound ? std::optional<cometspoke::Time>(100ms) : std::nullopt;
-        targets.start({OutgoingAttempt{1, 1, 0, "", "B", 500ms, within}});
+        caller.set_address(1, listener.address(), 0);
+        const auto start_within = has_start_limit ? std::optional<cometspoke::Time>(100ms) : std::nullopt;
+        caller.start({OutgoingAttempt{1, 1, 0, "", "B", 500ms, start_within}});
         io.run_for(kDeadline);
-        EXPECT_EQ(outcome, bound ? cometspoke::Outcome::Withheld : cometspoke::Outcome::ConnectFailed);
+        EXPECT_EQ(
+            outcome, has_start_limit ? cometspoke::Outcome::Withheld : cometspoke::Outcome::ConnectFailed);
     }
 }
 
-/// A target whose connections come up when the test says so: a full queue drops what knocks, and the system
-/// knocks again a second later.
-class LateTarget {
+/// An endpoint whose connections are established when the test decides: a full queue drops a connect, which
+/// the system repeats a second later.
+class LateEndpoint {
 public:
-    LateTarget() : acceptor_(io_) {
+    LateEndpoint() : acceptor_(io_) {
         acceptor_.open(Tcp::v4());
         acceptor_.bind({asio::ip::address_v4::loopback(), 0});
         acceptor_.listen(0);
     }
     std::string address() const { return text_of(acceptor_.local_endpoint()); }
     Tcp::socket accept() { return acceptor_.accept(); }
-    /// From here on nothing comes up until the next accept(), which takes this filling.
+    /// No connection is established until the next accept(), which returns the one made here.
     void fill() { filling_.connect(acceptor_.local_endpoint()); }
     static bool readable(Tcp::socket& socket, std::chrono::milliseconds within) {
         pollfd entry{socket.native_handle(), POLLIN, 0};
@@ -302,10 +307,10 @@
     Tcp::socket filling_{io_};
 };
 
-// zone+brink, join+mass: a call that was decided before a wait was told was written in the middle of it, when
-// its connection came up. It is no attempt then, and goes out once the wait is over.
-TEST_F(TargetTest, AWaitBindsACallWhoseConnectionComesUpLate) {
-    LateTarget late;
+// A call was decided before a Retry-After arrived and was written before that time was over, when its
+// connection was established. Such an attempt must not start, and the message is sent once the time is over.
+TEST_F(EndpointCallerTest, HonoursRetryAfterWhenAConnectionIsEstablishedLate) {
+    LateEndpoint late;
     node.config()["known"] = list(1, true, {member("s-1", late.address(), 7)});
     node.config()["settings"]["limits"]["connect_timeout_ms"] = 15000;
     node.config()["settings"]["limits"]["max_attempts"] = 1;
@@ -314,22 +319,22 @@
     ASSERT_EQ(enqueue(client, id), "+OK");
     Tcp::socket first = late.accept();
     late.fill();
-    ASSERT_TRUE(LateTarget::readable(first, kDeadline));
-    ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");  // its connection does not come up
+    ASSERT_TRUE(LateEndpoint::readable(first, kDeadline));
+    ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");  // its connection is not established
     std::this_thread::sleep_for(200ms);
-    LateTarget::answer(first, "HTTP/1.1 429 X\r\nContent-Length: 0\r\nRetry-After: 4\r\n\r\n");
-    const auto told = Clock::now();
+    LateEndpoint::answer(first, "HTTP/1.1 429 X\r\nContent-Length: 0\r\nRetry-After: 4\r\n\r\n");
+    const auto responded_at = Clock::now();
     const Tcp::socket filling = late.accept();
     Tcp::socket second = late.accept();
-    const auto up = Clock::now();
-    ASSERT_LT(up - told, 3s);
-    EXPECT_FALSE(LateTarget::readable(
-        second, std::chrono::duration_cast<std::chrono::milliseconds>(told + 3900ms - Clock::now())));
-    EXPECT_TRUE(LateTarget::readable(second, kDeadline));
+    const auto established_at = Clock::now();
+    ASSERT_LT(established_at - responded_at, 3s);
+    EXPECT_FALSE(LateEndpoint::readable(
+        second, std::chrono::duration_cast<std::chrono::milliseconds>(responded_at + 3900ms - Clock::now())));
+    EXPECT_TRUE(LateEndpoint::readable(second, kDeadline));
 }
 
-/// What a start would find of a message's attempts if the process ended now.
-std::uint32_t attempts_on_record(const Node& node, MessageId message) {
+/// The number of attempts that a new process would find in the journal if this one ended now.
+std::uint32_t recorded_attempts(const Node& node, MessageId message) {
     const TemporaryFolder copy;
     std::filesystem::copy_file(node.state() / "journal", copy.path() / "journal");
     const Journal journal(copy.path(), 1 << 20);
@@ -337,10 +342,11 @@
     return entry != nullptr ? entry->attempts : 0;
 }
 
-// A call that waits for its connection has not run: whatever ends the process, the next one makes it.
-class EndedWhileConnecting : public TargetTest, public ::testing::WithParamInterface<int> {};
-TEST_P(EndedWhileConnecting, ACallIsMadeAfterTheRestart) {
-    LateTarget late;
+// A call that waits for its connection has not run, so the next process makes it however this one
+// ends.
+class RestartWhileConnecting : public EndpointCallerTest, public ::testing::WithParamInterface<int> {};
+TEST_P(RestartWhileConnecting, MakesTheCallAfterwards) {
+    LateEndpoint late;
     late.fill();
     node.config()["known"] = list(1, true, {member("s-1", late.address(), 7)});
     node.config()["settings"]["limits"]["connect_timeout_ms"] = 15000;
@@ -348,7 +354,7 @@
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
     const auto until = Clock::now() + kDeadline;
-    while (attempts_on_record(node, cometspoke::settings::parse_message_id(id)) == 0)
+    while (recorded_attempts(node, cometspoke::settings::parse_message_id(id)) == 0)
         ASSERT_LT(Clock::now(), until);
     ::kill(node.pid(), GetParam());
     node.wait();
@@ -358,77 +364,80 @@
     EXPECT_EQ(call.header("X-Call-Id"), id);
     call.answer(200);
 }
-INSTANTIATE_TEST_SUITE_P(Target, EndedWhileConnecting, ::testing::Values(SIGKILL, SIGTERM));
+INSTANTIATE_TEST_SUITE_P(EndpointCaller, RestartWhileConnecting, ::testing::Values(SIGKILL, SIGTERM));
 
-// The head of an answer has told the wait; the rest comes late, never, or spoilt.
-class WaitInAHead : public TargetTest, public ::testing::WithParamInterface<const char*> {};
-TEST_P(WaitInAHead, BindsWhateverBecomesOfTheRest) {
+// Retry-After arrives in the header of a response whose rest is late, missing or malformed.
+class RetryAfterInAnIncompleteResponse : public EndpointCallerTest,
+                                         public ::testing::WithParamInterface<const char*> {};
+TEST_P(RetryAfterInAnIncompleteResponse, IsHonoured) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
     const Exchange call = target.next();
-    const auto told = Clock::now();
+    const auto responded_at = Clock::now();
     call.write("HTTP/1.1 429 X\r\nRetry-After: 2.5\r\n");
-    std::this_thread::sleep_for(100ms);  // as long as a call may still come
+    std::this_thread::sleep_for(100ms);  // until Retry-After is read; a call may still be sent before that
     call.write(GetParam());
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");
     target.next().answer(200);
-    EXPECT_GE(Clock::now() - told, 2500ms);
+    EXPECT_GE(Clock::now() - responded_at, 2500ms);
 }
-INSTANTIATE_TEST_SUITE_P(Target, WaitInAHead,
+INSTANTIATE_TEST_SUITE_P(EndpointCaller, RetryAfterInAnIncompleteResponse,
     ::testing::Values("Content-Length: 9\r\n\r\nhalf", "X-Never-Ends: p", "no colon here\r\n\r\n",
         "Content-Length: 3000000000\r\n\r\nand so on", "Content-Length: 0\r\n\r\n"));
 
-// The time-out falls due before the loop has told that the call was written whole: it may have run.
-TEST(Targets, DoubtACallThatWasWrittenAsItsTimeRanOut) {
+// The timeout expires before the event loop reports that the request was written, so the message may have
+// run.
+TEST(EndpointCaller, ReportsATimeoutIfTheRequestWasWrittenAsItsTimeRanOut) {
     HttpStub target;
     const Config config = read_config(make_config("127.0.0.1:1", "127.0.0.1:1"));
     asio::io_context io;
     std::optional<cometspoke::Outcome> outcome;
-    EndpointCaller targets(
+    EndpointCaller caller(
         io, config, 8, [](auto...) { return true; }, [](auto) {},
         [&](const cometspoke::OutcomeEvent& event) { outcome = event.outcome; });
-    targets.set_address(1, tcp_endpoint(target.address(), "target"), 0);
-    targets.start({OutgoingAttempt{1, 1, 0, "", "B", 50ms, std::nullopt}});
+    caller.set_address(1, tcp_endpoint(target.address(), "target"), 0);
+    caller.start({OutgoingAttempt{1, 1, 0, "", "B", 50ms, std::nullopt}});
     const auto due = Clock::now() + 60ms;
-    while (Clock::now() < due) continue;  // the connection is up and the time is over before the loop runs
+    // the connection is established and the time is over before the loop runs
+    while (Clock::now() < due) continue;
     while (!outcome) ASSERT_GT(io.run_one_for(kDeadline), 0u);
     EXPECT_EQ(target.next().header("X-Call-Id"), "0000000000000001");
     EXPECT_EQ(outcome, cometspoke::Outcome::TimedOut);
 }
 
-// Another target may have the address by the time that a connection to it comes up.
-TEST(Targets, WriteNothingToAnAddressThatIsNoLongerTheTargets) {
-    LateTarget late;
+// Another endpoint may have the address by the time when a connection to it is established.
+TEST(EndpointCaller, WritesNothingAfterTheAddressChanged) {
+    LateEndpoint late;
     late.fill();
     Json file = make_config("127.0.0.1:1", "127.0.0.1:1");
     file["settings"]["limits"]["connect_timeout_ms"] = 30000;
     const Config config = read_config(file);
     asio::io_context io;
     std::optional<cometspoke::Outcome> outcome;
-    EndpointCaller targets(
+    EndpointCaller caller(
         io, config, 8, [](auto...) { return true; }, [](auto) {},
         [&](const cometspoke::OutcomeEvent& event) { outcome = event.outcome; });
-    targets.set_address(1, tcp_endpoint(late.address(), "target"), 0);
-    targets.start({OutgoingAttempt{1, 1, 0, "", "B", 20s, std::nullopt}});
-    targets.set_address(1, tcp_endpoint("127.0.0.1:1", "target"), 0);
+    caller.set_address(1, tcp_endpoint(late.address(), "target"), 0);
+    caller.start({OutgoingAttempt{1, 1, 0, "", "B", 20s, std::nullopt}});
+    caller.set_address(1, tcp_endpoint("127.0.0.1:1", "target"), 0);
     const Tcp::socket filling = late.accept();
     Tcp::socket second = late.accept();
     while (!outcome) ASSERT_GT(io.run_one_for(kDeadline), 0u);
     EXPECT_EQ(outcome, cometspoke::Outcome::Withheld);
     char byte;
-    boost::system::error_code ended;
-    ASSERT_TRUE(LateTarget::readable(second, kDeadline));
-    EXPECT_EQ(second.read_some(asio::buffer(&byte, 1), ended), 0u);
+    boost::system::error_code error;
+    ASSERT_TRUE(LateEndpoint::readable(second, kDeadline));
+    EXPECT_EQ(second.read_some(asio::buffer(&byte, 1), error), 0u);
 }
 
-/// A call that is given up while its answer, which tells a wait, is on the way.
-class GivenUp : public ::testing::Test {
+/// A call that is cancelled while a response with Retry-After is on its way.
+class CancelledCall : public ::testing::Test {
 protected:
-    GivenUp() { targets.set_address(1, tcp_endpoint(target.address(), "target"), 0); }
-    /// Runs until the target has the whole call.
-    Exchange call(cometspoke::Time time_out) {
-        targets.start({OutgoingAttempt{1, 1, 0, "", "B", time_out, std::nullopt}});
+    CancelledCall() { caller.set_address(1, tcp_endpoint(target.address(), "target"), 0); }
+    /// Runs until the endpoint has received the whole call.
+    Exchange call(cometspoke::Time timeout) {
+        caller.start({OutgoingAttempt{1, 1, 0, "", "B", timeout, std::nullopt}});
         while (target.none_within(0ms)) io.run_one_for(10ms);
         return target.next();
     }
@@ -436,55 +445,55 @@
     HttpStub target;
     const Config config = read_config(make_config("127.0.0.1:1", "127.0.0.1:1"));
     asio::io_context io;
-    std::vector<cometspoke::Time> waits;
+    std::vector<cometspoke::Time> retry_after_times;
     std::vector<cometspoke::OutcomeEvent> outcomes;
-    EndpointCaller targets{io, config, 8, [](auto...) { return true; },
-        [this](const cometspoke::RetryAfterEvent& told) { waits.push_back(told.retry_after); },
+    EndpointCaller caller{io, config, 8, [](auto...) { return true; },
+        [this](const cometspoke::RetryAfterEvent& event) { retry_after_times.push_back(event.retry_after); },
         [this](const cometspoke::OutcomeEvent& event) { outcomes.push_back(event); }};
-    const std::string shut = "HTTP/1.1 429 X\r\nContent-Length: 0\r\nRetry-After: 3\r\n\r\n";
+    const std::string rejection = "HTTP/1.1 429 X\r\nContent-Length: 0\r\nRetry-After: 3\r\n\r\n";
 };
 
-// The answer lies in the socket, and the loop has not told of it: the outcome is its own.
-TEST_F(GivenUp, IsAnsweredAllTheSameByWhatHasCome) {
-    const Exchange out = call(20s);
-    out.write(shut);
+// The response is in the one and the event loop has not reported it; it decides the outcome.
+TEST_F(CancelledCall, UsesAResponseThatHasArrived) {
+    const Exchange exchange = call(20s);
+    exchange.write(rejection);
     target.settle();
-    targets.cancel(1, 0);
+    caller.cancel(1, 0);
     ASSERT_EQ(outcomes.size(), 1u);
     EXPECT_EQ(outcomes[0].outcome, cometspoke::Outcome::Rejected);
     EXPECT_GT(outcomes[0].retry_after, 2s);
 }
 
-// The answer was written before the target could know, and crosses the end of the call.
-TEST_F(GivenUp, HeedsAWaitInAnAnswerThatCrossesItsEnd) {
-    const Exchange out = call(20s);
-    targets.cancel(1, 0);
+// The endpoint wrote the response before it could know of the cancellation.
+TEST_F(CancelledCall, HonoursRetryAfterInALateResponse) {
+    const Exchange exchange = call(20s);
+    caller.cancel(1, 0);
     ASSERT_EQ(outcomes.size(), 1u);
     EXPECT_EQ(outcomes[0].outcome, cometspoke::Outcome::Cancelled);
-    EXPECT_EQ(targets.active_call_count(), 0u);
-    out.write(shut);
-    while (waits.empty()) ASSERT_GT(io.run_one_for(kDeadline), 0u);
-    EXPECT_GT(waits[0], 2s);
+    EXPECT_EQ(caller.active_call_count(), 0u);
+    exchange.write(rejection);
+    while (retry_after_times.empty()) ASSERT_GT(io.run_one_for(kDeadline), 0u);
+    EXPECT_GT(retry_after_times[0], 2s);
     EXPECT_EQ(outcomes.size(), 1u);
-    call(20s);  // on another connection: nothing may be sent on the one that was ended
+    call(20s);  // on another connection, because sending on the first one has been shut down
     EXPECT_EQ(target.connections(), 2);
 }
 
-// Of several messages in one call only those leave it that may not begin any more.
-TEST(Targets, WriteOnlyWhatMayStillBegin) {
+// Only those messages are removed from a batch call that may not start any more.
+TEST(EndpointCaller, WritesOnlyAttemptsThatMayStart) {
     HttpStub target;
     Json file = make_config("127.0.0.1:1", "127.0.0.1:1");
     file["settings"]["family_info"]["per_call"] = {3};
     const Config config = read_config(file);
     asio::io_context io;
     std::map<MessageId, cometspoke::Outcome> outcomes;
-    EndpointCaller targets(
+    EndpointCaller caller(
         io, config, 8, [](MessageId message, std::uint32_t) { return message == 2; }, [](auto) {},
         [&](const cometspoke::OutcomeEvent& event) { outcomes[event.message] = event.outcome; });
-    targets.set_address(1, tcp_endpoint(target.address(), "target"), 0);
+    caller.set_address(1, tcp_endpoint(target.address(), "target"), 0);
     const auto attempt = [](MessageId id) { return OutgoingAttempt{id, 1, 0, "", "B", 20s, std::nullopt}; };
-    targets.start({attempt(1), attempt(2), attempt(3)});
-    EXPECT_EQ(targets.active_call_count(), 1u);
+    caller.start({attempt(1), attempt(2), attempt(3)});
+    EXPECT_EQ(caller.active_call_count(), 1u);
     std::thread answering([&target] {
         const Exchange call = target.next();
         EXPECT_EQ(call.header("X-Call-Id"), "0000000000000002");
@@ -495,12 +504,12 @@
     using cometspoke::Outcome;
     EXPECT_EQ(outcomes, (std::map<MessageId, Outcome>{
                             {1, Outcome::Withheld}, {2, Outcome::Delivered}, {3, Outcome::Withheld}}));
-    EXPECT_EQ(targets.active_call_count(), 0u);
+    EXPECT_EQ(caller.active_call_count(), 0u);
 }
 
-// Another target may have the address of one that has gone: its calls go over connections of its own.
-TEST_F(TargetTest, UsesNoConnectionOfATargetThatHasGone) {
-    start_with_one_slot();
+// Another endpoint may get the address of a removed one, and its calls must use new connections.
+TEST_F(EndpointCallerTest, UsesNoConnectionOfARemovedEndpoint) {
+    start_with_one_call();
     Client client = node.client();
     expect_delivered(client, id);
     tell(agent_request("/v1/servers"), list(1, true, {member("s-1", target.address(), 7)}));
@@ -512,8 +521,8 @@
     EXPECT_EQ(target.connections(), 2);
 }
 
-// A target that went while its call was out: the outcome still counts for the message.
-TEST_F(TargetTest, WaitsForTheCallsOfATargetThatHasGone) {
+// An endpoint is removed during a call; the outcome of the call still counts for the message.
+TEST_F(EndpointCallerTest, AwaitsCallsOfARemovedEndpoint) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
@@ -522,15 +531,15 @@
     const Exchange watch = agent_request("/v1/servers?from=1");
     for (int i = 10; i < 14; ++i) {
         expect_delivered(client, "00000000000000" + std::to_string(i));
-        std::this_thread::sleep_for(400ms);  // what nothing names is forgotten meanwhile
+        std::this_thread::sleep_for(400ms);  // endpoints without any reference are released meanwhile
     }
     call.answer(200);
     EXPECT_TRUE(agent.none_within(500ms));
     EXPECT_EQ(client.ask({"PING"}), "+PONG");
 }
 
-// Calls, idle connections and answers without end together stay under the told number of descriptors.
-TEST_F(TargetTest, StaysUnderItsDescriptors) {
+// Calls, idle connections and endless responses together stay under the configured number of descriptors.
+TEST_F(EndpointCallerTest, StaysUnderTheDescriptorLimit) {
     node.config()["limits"]["sockets"] = 64;
     node.config()["settings"]["family_info"]["slots"] = 200;
     node.config()["settings"]["limits"]["most_held"] = 400;
@@ -539,8 +548,9 @@
     std::vector<Exchange> calls;
     for (int i = 100; i < 200; ++i) ASSERT_EQ(enqueue(client, "0000000000000" + std::to_string(i)), "+OK");
     for (int i = 0; i < 100; ++i) {
-        const auto all = std::filesystem::directory_iterator("/proc/" + std::to_string(node.pid()) + "/fd");
-        ASSERT_LE(std::distance(begin(all), end(all)), 64);
+        const auto descriptors =
+            std::filesystem::directory_iterator("/proc/" + std::to_string(node.pid()) + "/fd");
+        ASSERT_LE(std::distance(begin(descriptors), end(descriptors)), 64);
         target.next().write("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nand no more");
     }
     EXPECT_EQ(client.ask({"PING"}), "+PONG");
