--- a/src/net/http_bytes.hpp
+++ b/src/net/http_bytes.hpp
@@ -1,4 +1,4 @@
-/// HTTP messages as the bytes that go over a socket.
+/// Serialization of HTTP messages to the bytes that are sent over a socket.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
--- a/src/net/socket_io.cpp
+++ b/src/net/socket_io.cpp
@@ -11,7 +11,7 @@
 
 namespace errc = boost::system::errc;
 
-constexpr int kMostReads = 16;  // interrupted ones, in a row
+constexpr int kMaxReads = 16;  // while each one fails with a transient or unconfirmed error
 
 }  // namespace
 
@@ -34,7 +34,7 @@
 
 ReadResult read_available(boost::asio::ip::tcp::socket& socket, boost::asio::mutable_buffer buffer) {
     int errors = 0;
-    for (int reads = 0; reads < kMostReads; ++reads) {
+    for (int reads = 0; reads < kMaxReads; ++reads) {
         if (reads > 0) counters().add(Counter::ReadRetries);
         boost::system::error_code error;
         const std::size_t count = socket.read_some(buffer, error);
@@ -47,7 +47,7 @@
             case SocketResult::Cancelled:
                 return {SocketResult::Broken, 0};
             case SocketResult::Broken:
-                if (++errors >= kErrorsThatConfirm) return {result, 0};
+                if (++errors >= kMinErrorsToConfirm) return {result, 0};
                 break;
             case SocketResult::TryAgain:
             case SocketResult::LocalShortage:
@@ -55,7 +55,7 @@
                 break;
         }
     }
-    return {SocketResult::NotReady, 0};  // still readable: the next wait ends at once
+    return {SocketResult::NotReady, 0};  // the socket is still readable, so the next wait ends at once
 }
 
 }  // namespace lockgw
--- a/src/net/socket_io.hpp
+++ b/src/net/socket_io.hpp
@@ -1,7 +1,7 @@
-/// What the result of a socket call says: about the other side, about this machine, or nothing yet.
+/// Socket reads and writes that tell errors of the peer from errors of this machine.
 ///
-/// All reads and writes of the program go through here, so that an interruption or a shortage is never taken
-/// for the end of a connection.
+/// All socket reads and writes of the program use these functions, so that an interrupted call or a local
+/// shortage is never taken for the end of a connection.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -21,17 +21,17 @@
 
 enum class SocketResult {
     Done,
-    TryAgain,       ///< interrupted: nothing has happened
-    NotReady,       ///< nothing to read, or no room to write
-    PeerClosed,     ///< the other side has ended its sending
+    TryAgain,       ///< interrupted before anything was transferred
+    NotReady,       ///< no data to read, or no buffer space to write
+    PeerClosed,     ///< the peer will send nothing more
     Broken,         ///< reset, timed out or unreachable
-    LocalShortage,  ///< this machine lacks descriptors, memory, buffers or a local port
-    NoRoute,        ///< this machine has no route there now
+    LocalShortage,  ///< no descriptors, memory, buffers or local ports on this machine
+    NoRoute,        ///< this machine has no route to the peer at present
     Cancelled,      ///< by this process
 };
 
 SocketResult classify(const boost::system::error_code& error);
-/// Says nothing of the other side, and may pass by itself.
+/// Whether the result says nothing about the peer and may go away without any action.
 bool is_local_error(SocketResult result);
 
 struct ReadResult {
@@ -39,30 +39,30 @@
     std::size_t count = 0;
 };
 
-/// Reads what has come into `buffer`. Interruptions are gone over. An error counts once a second read
-/// confirms it: the system tells the end of a connection again, and what was only momentary has passed.
+/// Reads the available data into `buffer` and repeats interrupted reads. An error counts only once further
+/// reads confirm it: the system reports the end of a connection again, whereas a transient error is gone.
 ReadResult read_available(boost::asio::ip::tcp::socket& socket, boost::asio::mutable_buffer buffer);
 
-/// For acceptors that are accepted from with async_accept: a connection that was aborted in the queue is
-/// reported. Asio would wait for the next one to come instead, and leave those behind it in the queue.
+/// For acceptors that use async_accept. Without this option Asio ignores a connection that was aborted in the
+/// queue and waits for a new one to arrive, although others are waiting in the queue.
 inline const boost::asio::socket_base::enable_connection_aborted kReportAborted{true};
 
-/// After a shortage a write or connect is tried again so much later.
+/// Delay before a write or connect is retried after a local shortage.
 constexpr std::chrono::milliseconds kShortageRetryDelay{5};
-/// A write error counts when so many in a row tell it.
-constexpr int kErrorsThatConfirm = 3;
+/// A read or write error counts once this number of them have occurred without a success in between.
+constexpr int kMinErrorsToConfirm = 3;
 
-/// Writes all of `bytes` and then calls done(error, count): the error is none, or what ended the connection,
-/// and count is how many bytes the system took. The caller keeps `bytes` and the socket until then and bounds
-/// the time by closing the socket.
+/// Writes all of `bytes` and then calls done(error, count). The error is empty, or the one that ended the
+/// connection; `count` is the number of bytes that the system accepted. The caller keeps `bytes` and the
+/// socket alive until then and limits the time by closing the socket.
 template <class Done>
 class WriteOperation : public std::enable_shared_from_this<WriteOperation<Done>> {
 public:
     WriteOperation(boost::asio::ip::tcp::socket& socket, boost::asio::const_buffer bytes, Done done)
         : socket_(socket), bytes_(bytes), done_(std::move(done)) {}
 
-    /// The write comes first and the wait after it: a wait arms the event loop anew, which a write that
-    /// found no room for a moment only would leave without a further event.
+    /// Writes first and waits afterwards: the wait re-arms the event loop, which would get no further event
+    /// if a write found the buffer full only for a moment.
     void start() {
         while (bytes_.size() > 0) {
             boost::system::error_code error;
@@ -75,36 +75,36 @@
             if (result == SocketResult::Done)
                 errors_ = 0;
             else if (result == SocketResult::NotReady)
-                return start_when_ready();
+                return retry_when_ready();
             else if (result == SocketResult::LocalShortage || result == SocketResult::NoRoute)
-                return start_later();
-            else if (result != SocketResult::TryAgain && ++errors_ >= kErrorsThatConfirm)
+                return retry_later();
+            else if (result != SocketResult::TryAgain && ++errors_ >= kMinErrorsToConfirm)
                 return finish(error);
         }
         finish({});
     }
 
 private:
-    /// Never from within start().
+    /// Calls the handler from the event loop, never from within start().
     void finish(const boost::system::error_code& error) {
         boost::asio::post(socket_.get_executor(),
             [self = this->shared_from_this(), error] { self->done_(error, self->written_); });
     }
-    void start_when_ready() {
+    void retry_when_ready() {
         socket_.async_wait(
             boost::asio::ip::tcp::socket::wait_write, [self = this->shared_from_this()](const auto& error) {
                 const bool cancelled = classify(error) == SocketResult::Cancelled;
                 cancelled ? self->done_(error, self->written_) : self->start();
             });
     }
-    void start_later() {
-        const auto pause =
+    void retry_later() {
+        const auto timer =
             std::make_shared<boost::asio::steady_timer>(socket_.get_executor(), kShortageRetryDelay);
-        pause->async_wait([self = this->shared_from_this(), pause](const auto&) { self->start(); });
+        timer->async_wait([self = this->shared_from_this(), timer](const auto&) { self->start(); });
     }
 
     boost::asio::ip::tcp::socket& socket_;
-    boost::asio::const_buffer bytes_;  // what is left of them
+    boost::asio::const_buffer bytes_;  // not written yet
     Done done_;
     std::size_t written_ = 0;
     int errors_ = 0;
