--- a/src/counted_values.hpp
+++ b/src/counted_values.hpp
@@ -1,6 +1,7 @@
-/// A multiset of few distinct values, such as the aims of the messages that a destination holds.
+/// A multiset of few distinct values, such as the target latencies of the messages held for a destination.
 ///
-/// A container without decisions. Costs grow with the number of distinct values, not with their count.
+/// Each operation is linear in the number of distinct values, however often each of them occurs. Not
+/// thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -20,17 +21,17 @@
         else
             counts_.emplace_back(value, 1);
     }
-    /// The value must have been added.
+    /// Removes one occurrence of a value, which must be present.
     void remove(Value value) {
         const auto found = find(value);
         if (--found->second > 0) return;
         *found = counts_.back();
         counts_.pop_back();
     }
-    /// The least value; `otherwise` where there is none.
-    Value least(Value otherwise) const {
-        for (const auto& [value, count] : counts_) otherwise = std::min(otherwise, value);
-        return otherwise;
+    /// Returns the smallest value, or `fallback` if it is smaller or the multiset is empty.
+    Value least(Value fallback) const {
+        for (const auto& [value, count] : counts_) fallback = std::min(fallback, value);
+        return fallback;
     }
 
 private:
--- a/src/key_sequencer.hpp
+++ b/src/key_sequencer.hpp
@@ -1,7 +1,7 @@
-/// Turns of messages that share an order key: one at a time, in the order in which they were added.
+/// Serializes the messages that share an order key: one attempt at a time, in the order of their addition.
 ///
-/// A container without decisions: its caller says when an attempt begins and ends, and how long a key rests.
-/// Not thread-safe.
+/// The sequencer only keeps state: the caller reports the start and end of each attempt and decides for how
+/// long a key stays blocked. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -19,78 +19,81 @@
     using Id = std::uint64_t;
     using Time = std::chrono::microseconds;
 
-    /// The message waits behind all that were added under the key before it.
-    void add(Key key, Id id) { lines_[key].waiting.push_back(id); }
+    /// Appends the message to the queue of its key.
+    void add(Key key, Id id) { keys_[key].waiting.push_back(id); }
 
-    /// The message is over, whether or not its turn had come.
+    /// Removes a message that has ended, whether or not it had reached the front of the queue.
     void remove(Key key, Id id, Time now) {
-        const auto found = lines_.find(key);
-        if (found == lines_.end()) return;
+        const auto found = keys_.find(key);
+        if (found == keys_.end()) return;
         std::erase(found->second.waiting, id);
-        forget_if_idle(found, now);
+        erase_if_idle(found, now);
     }
 
-    void begin_attempt(Key key) { ++lines_[key].attempts_out; }
+    void begin_attempt(Key key) { ++keys_[key].open_attempts; }
 
     void end_attempt(Key key, Time now) {
-        const auto found = lines_.find(key);
-        if (found == lines_.end()) return;
-        --found->second.attempts_out;
-        forget_if_idle(found, now);
+        const auto found = keys_.find(key);
+        if (found == keys_.end()) return;
+        --found->second.open_attempts;
+        erase_if_idle(found, now);
     }
 
-    /// An attempt of the message may still be running: the others of its key wait until then.
+    /// Blocks the key's other messages until the given time, because an attempt of this message may still be
+    /// running. The message itself is not blocked.
     void rest(Key key, Id id, Time until) {
-        Line& line = lines_[key];
-        line.rest_until = std::max(line.rest_until, until);
-        line.rest_exempt = id;
-        resting_.insert(key);
+        KeyState& state = keys_[key];
+        state.blocked_until = std::max(state.blocked_until, until);
+        state.exempt_id = id;
+        blocked_keys_.insert(key);
     }
 
-    /// When the message may be sent; `never` while others of its key stand before it or are out.
+    /// Returns when the message may be sent, or `never` while another message of its key is ahead of it or an
+    /// attempt under the key is open.
     Time turn_of(Key key, Id id, Time never) const {
-        const auto found = lines_.find(key);
-        if (found == lines_.end()) return never;
-        const Line& line = found->second;
-        if (line.attempts_out > 0 || line.waiting.empty() || line.waiting.front() != id) return never;
-        return line.rest_exempt == id ? Time::min() : line.rest_until;
+        const auto found = keys_.find(key);
+        if (found == keys_.end()) return never;
+        const KeyState& state = found->second;
+        if (state.open_attempts > 0 || state.waiting.empty() || state.waiting.front() != id) return never;
+        return state.exempt_id == id ? Time::min() : state.blocked_until;
     }
 
-    /// When the next rest ends for which a message waits; `never` where there is none.
+    /// Returns the earliest end of a block that holds back a message, or `never` if there is none. Blocks
+    /// that have ended are dropped.
     Time next_turn(Time now, Time never) {
         Time next = never;
-        std::erase_if(resting_, [&](Key key) {
-            const auto found = lines_.find(key);
-            if (found == lines_.end()) return true;
-            if (found->second.rest_until <= now) {
-                forget_if_idle(found, now);
+        std::erase_if(blocked_keys_, [&](Key key) {
+            const auto found = keys_.find(key);
+            if (found == keys_.end()) return true;
+            if (found->second.blocked_until <= now) {
+                erase_if_idle(found, now);
                 return true;
             }
-            const Line& line = found->second;
-            const bool waits =
-                line.attempts_out == 0 && !line.waiting.empty() && line.waiting.front() != line.rest_exempt;
-            if (waits) next = std::min(next, line.rest_until);
+            const KeyState& state = found->second;
+            const bool holds_back_message = state.open_attempts == 0 && !state.waiting.empty() &&
+                                            state.waiting.front() != state.exempt_id;
+            if (holds_back_message) next = std::min(next, state.blocked_until);
             return false;
         });
         return next;
     }
 
 private:
-    struct Line {
+    struct KeyState {
         std::deque<Id> waiting;
-        int attempts_out = 0;  // begun and without an outcome
-        Time rest_until = Time::min();
-        Id rest_exempt = 0;  // the message whose attempt caused the rest
+        int open_attempts = 0;  // attempts that have started and have no outcome yet
+        Time blocked_until = Time::min();
+        Id exempt_id = 0;  // the message whose attempt caused the block, which the block does not hold back
     };
-    using Lines = std::map<Key, Line>;
+    using Keys = std::map<Key, KeyState>;
 
-    void forget_if_idle(Lines::iterator line, Time now) {
-        const Line& state = line->second;
-        if (state.waiting.empty() && state.attempts_out == 0 && state.rest_until <= now) lines_.erase(line);
+    void erase_if_idle(Keys::iterator key, Time now) {
+        const KeyState& state = key->second;
+        if (state.waiting.empty() && state.open_attempts == 0 && state.blocked_until <= now) keys_.erase(key);
     }
 
-    Lines lines_;
-    std::set<Key> resting_;
+    Keys keys_;
+    std::set<Key> blocked_keys_;
 };
 
 }  // namespace cometspoke
--- a/src/time_index.hpp
+++ b/src/time_index.hpp
@@ -1,7 +1,6 @@
-/// Identifiers by the time at which each falls due: one entry an identifier, found by either side.
+/// Maps identifiers to due times, one time for each identifier, with access by identifier and in time order.
 ///
-/// A container without decisions. Setting, erasing and taking the earliest cost the logarithm of its size.
-/// Not thread-safe.
+/// Insertion, removal and lookup are logarithmic in the size. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -19,13 +18,13 @@
 public:
     using Time = std::chrono::microseconds;
 
-    /// The identifier falls due at `when` from now on, in place of any time before.
+    /// Sets the due time of the identifier and replaces any earlier setting.
     void set(Id id, Time when) {
-        const auto [place, fresh] = times_.try_emplace(id, when);
-        if (!fresh) {
-            if (place->second == when) return;
-            order_.erase({place->second, id});
-            place->second = when;
+        const auto [entry, inserted] = times_.try_emplace(id, when);
+        if (!inserted) {
+            if (entry->second == when) return;
+            order_.erase({entry->second, id});
+            entry->second = when;
         }
         order_.insert({when, id});
     }
@@ -35,11 +34,11 @@
         order_.erase({found->second, id});
         times_.erase(found);
     }
-    /// The earliest time; none where it is empty.
+    /// Returns the earliest time, or nothing if the index is empty.
     std::optional<Time> earliest() const {
         return order_.empty() ? std::nullopt : std::optional(order_.begin()->first);
     }
-    /// Those due at `now`, which stay in, in the order of their identifiers.
+    /// Returns the identifiers that are due at `now`, sorted by identifier, without removing them.
     std::vector<Id> due(Time now) const {
         std::vector<Id> found;
         for (const auto& [when, id] : order_) {
@@ -49,7 +48,7 @@
         std::sort(found.begin(), found.end());
         return found;
     }
-    auto begin() const { return order_.begin(); }  ///< pairs of time and identifier, earliest first
+    auto begin() const { return order_.begin(); }  ///< iterates over pairs of time and identifier, by time
     auto end() const { return order_.end(); }
     std::optional<Time> time_of(Id id) const {
         const auto found = times_.find(id);
