--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -8,7 +8,7 @@
 namespace lockgw {
 namespace {
 
-TEST(Config, ReadsWhatAForwarderIsTold) {
+TEST(Config, ReadsAllFields) {
     const Config config = read_config(make_config("127.0.0.4:6379", "127.0.0.1:8500"));
     EXPECT_EQ(config.listen.port(), 6379);
     EXPECT_EQ(config.discovery.address().to_string(), "127.0.0.1");
@@ -19,36 +19,36 @@
     EXPECT_EQ(config.connect_timeout, std::chrono::milliseconds(1000));
 }
 
-TEST(Config, ReadsTheFeesOfTheZones) {
+TEST(Config, ReadsZoneCosts) {
     Json file = make_config("127.0.0.4:6379", "127.0.0.1:8500");
     EXPECT_TRUE(read_config(file).settings.zone_costs.empty());
     file["settings"]["localities"] = {"a", "b"};
     file["settings"]["family_info"]["carriage"] = {0.0, 0.03};
-    const Config before = read_config(file);
-    EXPECT_EQ(before.settings.zone_costs, (std::vector<double>{0.0, 0.03}));
-    // what the module knows by its place keeps that place in a later file
+    const Config previous = read_config(file);
+    EXPECT_EQ(previous.settings.zone_costs, (std::vector<double>{0.0, 0.03}));
+    // the module identifies zones by index, so that a zone keeps its index in a later file
     file["settings"]["localities"] = {"c", "b", "a"};
     file["settings"]["family_info"]["carriage"] = {0.5, 0.03, 0.0};
-    EXPECT_EQ(read_config(file, &before).settings.zone_costs, (std::vector<double>{0.0, 0.03, 0.5}));
+    EXPECT_EQ(read_config(file, &previous).settings.zone_costs, (std::vector<double>{0.0, 0.03, 0.5}));
 }
 
-TEST(Config, SaysWhatIsWrong) {
-    const auto spoilt = [](const char* pointer, const Json& value) {
+TEST(Config, RejectsInvalidFields) {
+    const auto with_field = [](const char* pointer, const Json& value) {
         Json file = make_config("127.0.0.4:6379", "127.0.0.1:8500");
         file[Json::json_pointer(pointer)] = value;
         return file;
     };
-    EXPECT_THROW(read_config(spoilt("/listen", "6379")), std::exception);
-    EXPECT_THROW(read_config(spoilt("/listen", "host.example:1")), std::exception);
-    EXPECT_THROW(read_config(spoilt("/discovery", "127.0.0.1:99999")), std::exception);
-    EXPECT_THROW(read_config(spoilt("/seed", "xyz")), std::exception);
-    EXPECT_THROW(read_config(spoilt("/limits/sockets", 3)), std::exception);
-    EXPECT_THROW(read_config(spoilt("/limits/disk_mb", -1)), std::exception);
-    EXPECT_THROW(read_config(spoilt("/settings/classes", nullptr)), std::exception);
+    EXPECT_THROW(read_config(with_field("/listen", "6379")), std::exception);
+    EXPECT_THROW(read_config(with_field("/listen", "host.example:1")), std::exception);
+    EXPECT_THROW(read_config(with_field("/discovery", "127.0.0.1:99999")), std::exception);
+    EXPECT_THROW(read_config(with_field("/seed", "xyz")), std::exception);
+    EXPECT_THROW(read_config(with_field("/limits/sockets", 3)), std::exception);
+    EXPECT_THROW(read_config(with_field("/limits/disk_mb", -1)), std::exception);
+    EXPECT_THROW(read_config(with_field("/settings/classes", nullptr)), std::exception);
     EXPECT_THROW(read_config(Json::object()), std::exception);
 }
 
-TEST(Enqueue, ReadsAMessage) {
+TEST(Enqueue, ParsesMessage) {
     const Config config = read_config(make_config("127.0.0.4:6379", "127.0.0.1:8500"));
     cometspoke::Time left{0};
     const resp::Command command{
@@ -62,7 +62,7 @@
     EXPECT_EQ(message.body, "BODY");
 }
 
-TEST(Enqueue, ReadsTheOrderKeyOfASequentialClass) {
+TEST(Enqueue, ParsesOrderKeyOfSequentialClass) {
     Json fields = make_config("127.0.0.4:6379", "127.0.0.1:8500");
     fields["settings"]["classes"][0]["sequential"] = true;
     const Config config = read_config(fields);
@@ -71,30 +71,30 @@
         return message_of({"ENQUEUE", key, "9b1f03aa5c7e2d41", pairs, ""}, config, PersistentTime{}, left)
             .order_key;
     };
-    const std::string in_order = "c=safe,t=acme,d=8000,dest=7";
-    EXPECT_EQ(order_key("0006483caaef320d", in_order), 0x0006483caaef320du);
-    EXPECT_EQ(order_key("0000000000000000", in_order), std::nullopt);
+    const std::string sequential_pairs = "c=safe,t=acme,d=8000,dest=7";
+    EXPECT_EQ(order_key("0006483caaef320d", sequential_pairs), 0x0006483caaef320du);
+    EXPECT_EQ(order_key("0000000000000000", sequential_pairs), std::nullopt);
     EXPECT_EQ(order_key("0006483caaef320d", "c=keyed,t=acme,d=8000,dest=7,k=1"), std::nullopt);
-    for (const char* odd : {"", "xyz", "-1", "00006483caaef320d"})
-        EXPECT_THROW(order_key(odd, in_order), cometspoke::settings::InvalidInput) << odd;
+    for (const char* malformed : {"", "xyz", "-1", "00006483caaef320d"})
+        EXPECT_THROW(order_key(malformed, sequential_pairs), cometspoke::settings::InvalidInput) << malformed;
 }
 
-TEST(Enqueue, RejectsWhatItCannotRead) {
+TEST(Enqueue, RejectsMalformedFields) {
     const Config config = read_config(make_config("127.0.0.4:6379", "127.0.0.1:8500"));
-    const auto refused = [&config](const std::string& id, const std::string& pairs) {
+    const auto expect_rejected = [&config](const std::string& id, const std::string& pairs) {
         cometspoke::Time left{0};
         EXPECT_THROW(message_of({"ENQUEUE", "0", id, pairs, ""}, config, PersistentTime{}, left),
             cometspoke::settings::InvalidInput)
             << pairs;
     };
     const std::string id = "9b1f03aa5c7e2d41";
-    refused("9b1f", "c=safe,t=acme,d=8000,dest=7");
-    refused("9B1F03AA5C7E2D41", "c=safe,t=acme,d=8000,dest=7");
+    expect_rejected("9b1f", "c=safe,t=acme,d=8000,dest=7");
+    expect_rejected("9B1F03AA5C7E2D41", "c=safe,t=acme,d=8000,dest=7");
     for (const char* pairs : {"", "c=safe", "c=odd,t=acme,d=8000,dest=7", "c=safe,t=odd,d=8000,dest=7",
              "c=safe,t=acme,d=x,dest=7", "c=safe,t=acme,d=nan,dest=7", "c=safe,t=acme,d=-1,dest=7",
              "c=safe,t=acme,d=1e300,dest=7", "c=safe,t=acme,d=8000,dest=7.5", "c=safe,t=acme,d=8000",
              "c=keyed,t=acme,d=8000,dest=7", "c=keyed,t=acme,d=8000,dest=7,k=a\r\nb", "c=safe,,"})
-        refused(id, pairs);
+        expect_rejected(id, pairs);
 }
 
 }  // namespace
--- a/tests/containers_test.cpp
+++ b/tests/containers_test.cpp
@@ -1,4 +1,4 @@
-// The containers of the decision module: turns per key, identifiers by time, counted values.
+// The containers of the decision module: KeySequencer, TimeIndex and CountedValues.
 #include <gtest/gtest.h>
 
 #include "counted_values.hpp"
@@ -10,9 +10,9 @@
 
 using std::chrono::microseconds;
 
-constexpr microseconds kNone{1'000'000};
+constexpr microseconds kNever{1'000'000};
 
-TEST(TimeIndex, HoldsOneTimeForEachIdentifier) {
+TEST(TimeIndex, KeepsOneTimePerIdentifier) {
     TimeIndex<int> index;
     EXPECT_EQ(index.earliest(), std::nullopt);
     index.set(1, microseconds(30));
@@ -28,7 +28,7 @@
     EXPECT_EQ(index.earliest(), microseconds(20));
 }
 
-TEST(CountedValues, TellsTheLeastOfThoseThatAreLeft) {
+TEST(CountedValues, ReturnsSmallestRemainingValue) {
     CountedValues<int> values;
     EXPECT_EQ(values.least(9), 9);
     for (const int value : {5, 3, 3, 7}) values.add(value);
@@ -39,23 +39,24 @@
     EXPECT_EQ(values.least(9), 5);
 }
 
-TEST(KeySequencer, GivesTurnsInOrderAndForgetsIdleKeys) {
+TEST(KeySequencer, SendsInOrderAndErasesIdleKeys) {
     KeySequencer keys;
     keys.add(7, 1);
     keys.add(7, 2);
-    EXPECT_LT(keys.turn_of(7, 1, kNone), microseconds(0));
-    EXPECT_EQ(keys.turn_of(7, 2, kNone), kNone);
+    EXPECT_LT(keys.turn_of(7, 1, kNever), microseconds(0));
+    EXPECT_EQ(keys.turn_of(7, 2, kNever), kNever);
     keys.begin_attempt(7);
-    EXPECT_EQ(keys.turn_of(7, 1, kNone), kNone);
+    EXPECT_EQ(keys.turn_of(7, 1, kNever), kNever);
     keys.rest(7, 1, microseconds(50));
     keys.end_attempt(7, microseconds(10));
-    EXPECT_LT(keys.turn_of(7, 1, kNone), microseconds(0)) << "its own rest does not bind it";
+    EXPECT_LT(keys.turn_of(7, 1, kNever), microseconds(0))
+        << "a block does not hold back the message that caused it";
     keys.remove(7, 1, microseconds(10));
-    EXPECT_EQ(keys.turn_of(7, 2, kNone), microseconds(50));
-    EXPECT_EQ(keys.next_turn(microseconds(10), kNone), microseconds(50));
+    EXPECT_EQ(keys.turn_of(7, 2, kNever), microseconds(50));
+    EXPECT_EQ(keys.next_turn(microseconds(10), kNever), microseconds(50));
     keys.remove(7, 2, microseconds(20));
-    EXPECT_EQ(keys.next_turn(microseconds(60), kNone), kNone);
-    EXPECT_EQ(keys.turn_of(7, 2, kNone), kNone) << "a key without messages is forgotten after its rest";
+    EXPECT_EQ(keys.next_turn(microseconds(60), kNever), kNever);
+    EXPECT_EQ(keys.turn_of(7, 2, kNever), kNever) << "a key without messages is erased after its block ends";
 }
 
 }  // namespace
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -1,4 +1,4 @@
-// SIGHUP: the configuration read anew, and another agent of discovery, while the program runs.
+// Reloading the configuration on SIGHUP, including a change of the discovery agent.
 #include "node_fixture.hpp"
 
 namespace lockgw {
@@ -14,77 +14,78 @@
     static std::string path_of(const Exchange& exchange) { return std::string(exchange.request.target()); }
 };
 
-// A new agent counts its own versions: it is asked for the whole list, and gets every unconfirmed notice.
-TEST_F(ReloadTest, MovesToTheNewAgentWithItsNotices) {
-    HttpStub fresh, other;
+// A new agent numbers its revisions independently: it must be asked for the whole list, and must get every
+// notice that the old agent has not confirmed.
+TEST_F(ReloadTest, SwitchesToNewAgentAndResendsNotices) {
+    HttpStub new_agent, new_endpoint;
     node.start_ready();
     tell(agent_request("/v1/servers"), list(5, true, {member("s-1", target.address(), 7)}));
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 100, "B", 99), "+OK");
     agent_request("/reports");  // never confirmed
 
-    node.reload(with_discovery(fresh.address()));
+    node.reload(with_discovery(new_agent.address()));
     std::optional<Exchange> whole, report;
     while (!whole || !report) {
-        const Exchange exchange = fresh.next();
+        const Exchange exchange = new_agent.next();
         (path_of(exchange) == "/reports" ? report : whole) = exchange;
     }
     EXPECT_EQ(path_of(*whole), "/v1/servers");
     EXPECT_EQ(notices(*report)[0]["ref"], id);
     report->answer(204);
 
-    ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");  // the last list stays in use meanwhile
+    ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");  // the last list stays in use until then
     const Exchange call = target.next();
     EXPECT_EQ(call.header("X-Call-Id"), "00000000000000aa");
     call.answer(200);
-    tell(*whole, list(2, true, {member("s-2", other.address(), 7)}));
-    EXPECT_TRUE(path_of(fresh.next()).starts_with("/v1/servers?from=2&"));
+    tell(*whole, list(2, true, {member("s-2", new_endpoint.address(), 7)}));
+    EXPECT_TRUE(path_of(new_agent.next()).starts_with("/v1/servers?from=2&"));
     ASSERT_EQ(enqueue(client, "00000000000000bb"), "+OK");
-    EXPECT_EQ(other.next().header("X-Call-Id"), "00000000000000bb");
+    EXPECT_EQ(new_endpoint.next().header("X-Call-Id"), "00000000000000bb");
 }
 
-// An old agent that goes on answering must not be believed, nor end anything when it closes.
-TEST_F(ReloadTest, PassesOverWhatTheOldAgentStillSays) {
-    HttpStub fresh, other;
+// A late response from the old agent must be ignored, and so must the end of its connection.
+TEST_F(ReloadTest, IgnoresLateResponsesOfOldAgent) {
+    HttpStub new_agent, new_endpoint;
     node.start_ready();
-    const Exchange old = agent_request("/v1/servers");
-    node.reload(with_discovery(fresh.address()));
-    const Exchange whole = fresh.next();
-    tell(old, list(9, true, {member("s-2", other.address(), 7)}));
-    old.hang_up();
+    const Exchange old_watch = agent_request("/v1/servers");
+    node.reload(with_discovery(new_agent.address()));
+    const Exchange whole = new_agent.next();
+    tell(old_watch, list(9, true, {member("s-2", new_endpoint.address(), 7)}));
+    old_watch.hang_up();
     tell(whole, list(2, true, {member("s-1", target.address(), 7)}));
-    EXPECT_TRUE(path_of(fresh.next()).starts_with("/v1/servers?from=2&"));
+    EXPECT_TRUE(path_of(new_agent.next()).starts_with("/v1/servers?from=2&"));
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     EXPECT_EQ(target.next().header("X-Call-Id"), id);
 }
 
-TEST_F(ReloadTest, KeepsTheOldConfigurationWhereTheNewOneIsBad) {
+TEST_F(ReloadTest, KeepsOldConfigurationIfNewOneIsInvalid) {
     node.start_ready();
-    Json senseless = node.config();
-    senseless["settings"]["family_info"]["slots"] = 0;
-    std::vector<std::string> broken{"{\"name\":\n", "[]", "", node.config().dump().substr(0, 400),
-        with_discovery("nowhere"), senseless.dump()};
-    const auto spoil = [&](const char* pointer, const Json& value) {
+    Json without_calls = node.config();
+    without_calls["settings"]["family_info"]["slots"] = 0;
+    std::vector<std::string> invalid_files{"{\"name\":\n", "[]", "", node.config().dump().substr(0, 400),
+        with_discovery("nowhere"), without_calls.dump()};
+    const auto add_invalid = [&](const char* pointer, const Json& value) {
         Json config = node.config();
-        const Json::json_pointer place(pointer);
+        const Json::json_pointer field(pointer);
         if (value.is_discarded())
-            config.at(place.parent_pointer()).erase(place.back());
+            config.at(field.parent_pointer()).erase(field.back());
         else
-            config.at(place) = value;
-        broken.push_back(config.dump());
+            config.at(field) = value;
+        invalid_files.push_back(config.dump());
     };
     const Json missing(Json::value_t::discarded);
     for (const char* key : {"/limits", "/settings", "/settings/classes", "/settings/limits/max_attempts",
              "/settings/limits/cancel", "/settings/contract/fall_ms", "/settings/classes/1/window_ms"})
-        spoil(key, missing);
+        add_invalid(key, missing);
     for (const Json& value : {Json(0), Json(-3), Json("12"), Json(nullptr), Json(true)}) {
-        spoil("/settings/limits/max_attempts", value);
-        spoil("/settings/classes/2/hard_limit_ms", value);
+        add_invalid("/settings/limits/max_attempts", value);
+        add_invalid("/settings/classes/2/hard_limit_ms", value);
     }
-    for (const std::string& bad : broken) {
+    for (const std::string& invalid_file : invalid_files) {
         const std::size_t start = node.log().rfind('\n') + 1;
-        node.reload(bad);
+        node.reload(invalid_file);
         // Returns the complete lines of the log since the reload: the process writes a line in several
         // pieces, so that an unfinished line may lack the prefix to filter by. Leaves out the timeouts of the
         // watch request, which this test does not answer.
@@ -99,7 +100,7 @@
         while (new_lines().find('\n') == std::string::npos && Clock::now() < until)
             std::this_thread::sleep_for(10ms);
         const std::string log = new_lines();
-        EXPECT_NE(log.find("the old configuration stays: "), std::string::npos) << bad << log;
+        EXPECT_NE(log.find("the old configuration stays: "), std::string::npos) << invalid_file << log;
         EXPECT_EQ(std::count(log.begin(), log.end(), '\n'), 1) << log;
     }
     Client client = node.client();
@@ -108,11 +109,11 @@
     agent_request("/v1/servers");
 }
 
-// What was passed over for its kind or zone comes in the list again only if the whole of it is asked for.
-TEST_F(ReloadTest, AsksForTheWholeListWhereKindsHaveBecomeMore) {
-    HttpStub other;
+// An entry that was ignored for its unknown kind or zone arrives again only with the whole list.
+TEST_F(ReloadTest, RequestsWholeListAfterKindsWereAdded) {
+    HttpStub new_endpoint;
     node.start_ready();
-    Json market = member("s-2", other.address(), 8);
+    Json market = member("s-2", new_endpoint.address(), 8);
     market["flavor"] = "market";
     const Json known = list(5, true, {member("s-1", target.address(), 7), market});
     tell(agent_request("/v1/servers"), known);
@@ -125,11 +126,12 @@
     agent_request("/v1/servers?from=5");
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 30000, "B", 8), "+OK");
-    EXPECT_EQ(other.next().header("X-Call-Id"), id);
+    EXPECT_EQ(new_endpoint.next().header("X-Call-Id"), id);
 }
 
-// A class that changes or goes does so for new messages; those under way keep theirs, also over a restart.
-TEST_F(ReloadTest, NewClassesHoldForNewMessagesOnly) {
+// A changed or removed class affects new messages only. Accepted messages keep the settings of their class,
+// also across a restart.
+TEST_F(ReloadTest, ChangedClassesAffectNewMessagesOnly) {
     node.config()["settings"]["limits"]["max_attempts"] = 6;
     node.start_ready();
     Client client = node.client();
@@ -140,14 +142,14 @@
     classes[0]["effect"] = "fragile";
     node.reload(node.config().dump());
     ASSERT_TRUE(node.logs("configuration read anew"));
-    EXPECT_EQ(enqueue(client, "00000000000000a1").substr(0, 4), "-ERR");  // "safe" has gone
+    EXPECT_EQ(enqueue(client, "00000000000000a1").substr(0, 4), "-ERR");  // class "safe" no longer exists
     EXPECT_EQ(enqueue(client, "00000000000000a2", "strict"), "+OK");
     const Exchange strict = target.next();
     EXPECT_EQ(strict.header("X-Call-Id"), "00000000000000a2");
     strict.hang_up();
     first.hang_up();
-    EXPECT_EQ(notices(agent_request("/reports"))[0]["ref"], "00000000000000a2");  // it may not be repeated
-    EXPECT_EQ(target.next().header("X-Call-Id"), id);                             // this one may
+    EXPECT_EQ(notices(agent_request("/reports"))[0]["ref"], "00000000000000a2");  // at-most-once: no retry
+    EXPECT_EQ(target.next().header("X-Call-Id"), id);  // retryable: a second attempt
 
     node.kill();
     node.wait();
@@ -157,7 +159,7 @@
     again.answer(200);
 }
 
-TEST_F(ReloadTest, FewerAttemptsHoldAtOnce) {
+TEST_F(ReloadTest, LowerAttemptLimitAppliesToHeldMessages) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
@@ -171,16 +173,18 @@
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-TEST_F(ReloadTest, TakesManySignalsAlsoWhileItDrains) {
-    HttpStub fresh;
+TEST_F(ReloadTest, HandlesManySignalsAlsoDuringDrain) {
+    HttpStub new_agent;
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     const Exchange call = target.next();
-    for (int i = 0; i < 20; ++i) node.reload(with_discovery(i % 2 == 0 ? fresh.address() : agent.address()));
+    for (int i = 0; i < 20; ++i)
+        node.reload(with_discovery(i % 2 == 0 ? new_agent.address() : agent.address()));
     node.terminate();
-    for (int i = 0; i < 20; ++i) node.reload(with_discovery(i % 2 == 0 ? agent.address() : fresh.address()));
-    fresh.next();
+    for (int i = 0; i < 20; ++i)
+        node.reload(with_discovery(i % 2 == 0 ? agent.address() : new_agent.address()));
+    new_agent.next();
     call.answer(200);
     const int status = node.wait();
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
