--- a/src/net/forwarder.hpp
+++ b/src/net/forwarder.hpp
@@ -1,4 +1,5 @@
-/// What happens on the sockets as the module's events, and the module's actions carried out. No decisions.
+/// Translates what happens on the sockets into events of the decision module, and carries out the actions of
+/// the module. It makes no decisions about messages itself.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -26,125 +27,130 @@
 public:
     Forwarder(asio::io_context& io, Config config);
 
-    /// Takes up what the journal holds, or what another process hands over. Throws where the folder or an
+    /// Recovers the messages in the journal, or takes over from another process. Throws if the folder or an
     /// address cannot be used.
     void start();
-    /// It has stopped the loop because it cannot go on.
+    /// The loop was stopped by a fault that this process cannot recover from.
     bool failed() const { return failed_; }
-    /// Takes over what may change while it runs: the settings and the address of discovery. Throws where the
-    /// file that is read anew makes no sense; nothing has changed then.
+    /// Reads the configuration again and applies what may change at run time: the settings, the names and the
+    /// address of discovery. Throws if the file is invalid; nothing has changed then.
     void reload();
-    /// Hands the clients on, goes on delivering, and stops the loop well before it would be killed.
+    /// Starts the shutdown: stops taking clients, keeps delivering, and stops the loop well before SIGKILL.
     void finish();
 
 private:
-    struct Newcomer {
+    /// An enqueue request of this event-loop iteration or handover whose client has no reply yet.
+    struct PendingEnqueue {
         Message message;
-        ClientServer::Reply answer;
+        ClientServer::Reply reply;
     };
 
     using AttemptId = std::pair<MessageId, std::uint32_t>;
-    /// Waiting: another process owns what the folder holds. Offered: this one still does, and another is
-    /// about to take over. Released: another does, and this one has clients to answer and calls to wait for.
+    /// Waiting: another process owns the folder. Offered: this process still owns it, and another one is
+    /// about to take over. Released: another process owns it, and this one still has clients to reply to and
+    /// calls to wait for.
     enum class Role { Waiting, Owner, Offered, Released };
 
     Handover::Steps handover_steps();
-    void own(const std::optional<Json>& offer);
+    void become_owner(const std::optional<Json>& offer);
     void open_journal();
     void close_after_failed_start();
     Json offer();
-    Json members() const;
-    void let_go();
+    Json endpoints_json() const;
+    void release_files();
     void released();
     void take_back(bool offered);
-    void told(const Json& note);
-    void predecessor_left();
-    void adopt(const Json& offer, const std::vector<EndpointCaller::ActiveCall>& out);
-    void hand_calls_on(const std::vector<EndpointCaller::ActiveCall>& out);
-    std::vector<EndpointCaller::ActiveCall> out_elsewhere(const Json& calls);
-    Json calls_out() const;
-    void learn(const Json& learned);
-    Json learned() const;
-    void tell_held();
-    void relay(const OperatorCall& call, Management::Reply answer);
-    void enqueue_here_again();
-    bool name_class(const Message& message, cometspoke::MessageEvent& event) const;
-    void take_up(const std::set<AttemptId>& out);
-    void operate(const OperatorCall& call, const Management::Reply& answer);
-    OperatorReply verdict_on(const OperatorCall& call);
-    OperatorReply ban(const std::string& target, bool on);
+    void receive(const Json& handover_message);
+    void predecessor_ended();
+    void take_over(const Json& offer, const std::vector<EndpointCaller::ActiveCall>& active_calls);
+    void observe_inherited_calls(const std::vector<EndpointCaller::ActiveCall>& active_calls);
+    std::vector<EndpointCaller::ActiveCall> parse_inherited_calls(const Json& calls);
+    Json active_calls_json() const;
+    void observe_learned_state(const Json& states);
+    Json learned_state_json() const;
+    void send_held_counts();
+    void relay(const OperatorCall& call, Management::Reply reply);
+    void enqueue_pending_again();
+    bool resolve_class(const Message& message, cometspoke::MessageEvent& event) const;
+    void recover_messages(const std::set<AttemptId>& active_attempts);
+    void handle_operator_call(const OperatorCall& call, const Management::Reply& reply);
+    OperatorReply execute_operator_call(const OperatorCall& call);
+    OperatorReply set_endpoint_disabled(const std::string& name, bool disabled);
     void drain();
     void undrain();
-    void list(EndpointList told, cometspoke::ListUpdateKind kind);
-    void enqueue(Message message, cometspoke::Time left, ClientServer::Reply answer);
-    void outcome(const cometspoke::OutcomeEvent& event);
+    void apply_list(EndpointList update, cometspoke::ListUpdateKind kind);
+    void enqueue(Message message, cometspoke::Time time_left, ClientServer::Reply reply);
+    void on_outcome(const cometspoke::OutcomeEvent& event);
     void observe(const cometspoke::Event& event);
-    void turn();
-    void answer_newcomers(const std::vector<cometspoke::Action>& actions);
-    std::string take_on(const Message& message);
+    void run_iteration();
+    void reply_to_pending_enqueues(const std::vector<cometspoke::Action>& actions);
+    std::string accept_message(const Message& message);
     template <class Step>
-    void guarded(Step step);
+    void run_guarded(Step step);
     void stop_if_done();
 
-    void begin(const cometspoke::Send& send, std::vector<OutgoingAttempt>& attempts);
-    void carry_out(const cometspoke::Send&) {}  // all of a turn's together
+    void start_attempt(const cometspoke::Send& send, std::vector<OutgoingAttempt>& attempts);
+    void carry_out(const cometspoke::Send&) {}  // run_iteration() starts them together.
     void carry_out(const cometspoke::CancelAttempt& cancel);
     void carry_out(const cometspoke::Refuse& refuse);
     void carry_out(const cometspoke::Fail& fail);
     void carry_out(const cometspoke::SetTimer& timer);
     void carry_out(const cometspoke::CloseIdle& close);
-    void carry_out(const cometspoke::ReleaseEndpoint& forget);
-    void carry_out(const cometspoke::SendToPeers& tell);
+    void carry_out(const cometspoke::ReleaseEndpoint& release);
+    void carry_out(const cometspoke::SendToPeers& send);
     void carry_out(const cometspoke::Log& log);
-    void carry_out(const cometspoke::Probe&) {}      // not allowed on sockets
-    void carry_out(const cometspoke::Watch&) {}      // discovery is always watched
-    void carry_out(const cometspoke::FetchList&) {}  // and its whole list asked for first
-    void end(MessageId id, const EndNotice& notice);
-    void on_record(bool kept);
-    void catch_up();
-    void tell_ends(bool kept);
-    void watch_clock();
-    void delivered(const JournalEntry& entry, cometspoke::Outcome outcome);
-    void remember(MessageId ended, PersistentTime until);
+    void carry_out(const cometspoke::Probe&) {}      // Not allowed on sockets.
+    void carry_out(const cometspoke::Watch&) {}      // Discovery is always watched.
+    void carry_out(const cometspoke::FetchList&) {}  // Discovery always fetches the full list first.
+    void end_message(MessageId id, const EndNotice& notice);
+    void retry_unless_recorded(bool recorded);
+    void write_pending_records();
+    void report_recorded_ends(bool recorded);
+    void check_wall_clock();
+    void on_delivered(const JournalEntry& entry, cometspoke::Outcome outcome);
+    void remember_ended(MessageId ended, PersistentTime until);
 
     asio::io_context& io_;
     Config config_;
     EventLog log_;
     PersistentClock clock_;
-    std::optional<Journal> journal_;  // while this process owns the folder
+    std::optional<Journal> journal_;  // Present while this process owns the folder.
     cometspoke::Sender sender_;
     EndpointDirectory directory_;
-    EndpointCaller targets_;
+    EndpointCaller endpoint_caller_;
     Discovery discovery_;
-    PeerChannel peers_;
+    PeerChannel peer_channel_;
     ClientServer clients_;
     Management management_;
     Handover handover_;
-    asio::steady_timer timer_, send_off_, finish_step_, finish_end_, held_pause_, linger_, catch_up_again_;
+    asio::steady_timer decision_timer_, client_close_timer_, drain_timer_, exit_timer_, held_counts_timer_,
+        linger_timer_, write_retry_timer_;
     Role role_ = Role::Waiting;
-    bool failed_ = false, reload_due_ = false, lingered_ = false;
-    Json offer_;                                      // what was handed over last: it may come back
-    std::vector<cometspoke::OutcomeEvent> outcomes_;  // since the offer, told to the owner once there is one
-    struct Elsewhere {
+    bool failed_ = false, reload_pending_ = false, linger_expired_ = false;
+    Json last_offer_;                                            // Is taken back if the other process ends.
+    std::vector<cometspoke::OutcomeEvent> unreported_outcomes_;  // Since the offer; sent to the new owner.
+    /// An attempt of an inherited call.
+    struct InheritedAttempt {
         EndpointId endpoint = 0;
-        std::chrono::steady_clock::time_point begun{};
+        std::chrono::steady_clock::time_point started_at{};
     };
-    std::map<AttemptId, Elsewhere> elsewhere_;  // out on the connections of the process before
-    struct Relayed {
+    std::map<AttemptId, InheritedAttempt> inherited_attempts_;  // On the connections of the previous process.
+    struct RelayedOperatorCall {
         OperatorCall call;
-        Management::Reply answer;
+        Management::Reply reply;
     };
-    std::map<std::uint64_t, Relayed> relayed_;  // operators' calls that wait for the owner
-    std::uint64_t relays_ = 0;
-    bool turn_due_ = false, finishing_ = false, catch_up_due_ = false;
-    bool drained_ = false;                       // by the operators: the process goes on
-    std::map<MessageId, Newcomer> newcomers_;    // handed in this turn, not answered yet
-    bool whole_list_ = false;                    // discovery has told all targets once
-    std::chrono::microseconds clock_offset_{0};  // of the wall clock from the monotonic one, as last seen
-    std::set<MessageId> unkept_ends_;            // not on record yet, and so not told
-    std::optional<std::chrono::steady_clock::time_point> unreadable_since_;  // the journal, at a start
-    std::set<MessageId> ended_;  // whose time is not up: none of them is taken on anew
-    std::deque<std::pair<PersistentTime, MessageId>> ended_until_;
+    std::map<std::uint64_t, RelayedOperatorCall>
+        relayed_operator_calls_;  // Waiting for the reply of the owner.
+    std::uint64_t last_relay_number_ = 0;
+    bool iteration_due_ = false, finishing_ = false, write_retry_due_ = false;
+    bool drained_ = false;  // Set by operators; the process keeps running.
+    std::map<MessageId, PendingEnqueue> pending_enqueues_;
+    bool full_list_received_ = false;            // Discovery has sent all endpoints once.
+    std::chrono::microseconds clock_offset_{0};  // Wall clock minus monotonic clock, when last read.
+    std::set<MessageId> unrecorded_ends_;        // Not yet recorded, and so not notified.
+    std::optional<std::chrono::steady_clock::time_point> journal_unreadable_since_;  // At a start.
+    std::set<MessageId> ended_ids_;  // Before their deadlines; none of them is accepted again.
+    std::deque<std::pair<PersistentTime, MessageId>> ended_ids_by_deadline_;
 };
 
 }  // namespace lockgw
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -26,88 +26,97 @@
 
 namespace {
 
-constexpr auto kClaimAgain = 30ms;  // the owner may be starting, ending, or handing over already
-constexpr auto kStartAgain = 50ms;  // after a start that found the folder or an address not to be used now
-constexpr auto kAddressInUse = 1s;
-constexpr int kOwnAttempts = 30;
-constexpr auto kClaimWithin = 3s;    // for each step of one that claims,
-constexpr auto kOfferWithin = 1s;    // and of one that offers: its clients wait meanwhile
-constexpr auto kRegainPause = 10ms;  // the kernel frees a dead process's lock and socket in its own order
-constexpr int kRegainTries = 200;
-constexpr std::uint32_t kMostFrame = 16 << 20;
+// Time between claims: the owner may be starting, ending or handing over to another process already.
+constexpr auto kClaimRetryInterval = 30ms;
+// Time until a start is repeated that could not use the folder or an address.
+constexpr auto kStartRetryInterval = 50ms;
+// A start is repeated for this long while the address is in use.
+constexpr auto kMaxAddressInUseTime = 1s;
+constexpr int kMaxBecomeOwnerTries = 30;
+// The claiming process waits this long for each step of the owner.
+constexpr auto kMaxClaimStepTime = 3s;
+// The owner waits this long for each step of the claiming process, because its clients wait meanwhile.
+constexpr auto kMaxOfferStepTime = 1s;
+// The kernel releases the lock and the socket of a dead process in no fixed order, so regaining is retried.
+constexpr auto kRegainInterval = 10ms;
+constexpr int kMaxRegainTries = 200;
+constexpr std::uint32_t kMaxFrameBytes = 16 << 20;
 
 }  // namespace
 
-/// Frames of a length and CBOR (bodies hold any bytes), in both directions.
-class HandoverLink : public std::enable_shared_from_this<HandoverLink> {
+/// Exchanges handover messages. Each frame is a length followed by CBOR, because bodies may hold any bytes.
+class HandoverConnection : public std::enable_shared_from_this<HandoverConnection> {
 public:
     using Local = asio::local::stream_protocol;
 
-    HandoverLink(Local::socket socket, std::function<void(const Json&)> heard, std::function<void()> ended)
-        : socket_(std::move(socket)), heard_(std::move(heard)), ended_(std::move(ended)) {}
+    HandoverConnection(
+        Local::socket socket, std::function<void(const Json&)> receive, std::function<void()> on_end)
+        : socket_(std::move(socket)), receive_(std::move(receive)), on_end_(std::move(on_end)) {}
 
     void start() { read_length(); }
-    void send(const Json& note) {
+    void send(const Json& message) {
         if (closed_) return;
-        const auto bytes = Json::to_cbor(note);
+        const auto bytes = Json::to_cbor(message);
         const auto length = static_cast<std::uint32_t>(bytes.size());
         std::string frame(sizeof length, '\0');
         std::memcpy(frame.data(), &length, sizeof length);
         frame.append(bytes.begin(), bytes.end());
-        out_.push_back(std::move(frame));
-        if (out_.size() == 1) write();
+        outgoing_.push_back(std::move(frame));
+        if (outgoing_.size() == 1) write();
     }
-    /// Nothing is told any more.
+    /// Closes the connection; no callback runs after that.
     void close() {
         closed_ = true;
-        boost::system::error_code ignored;
-        socket_.close(ignored);
+        boost::system::error_code ignored_error;
+        socket_.close(ignored_error);
     }
 
 private:
     template <class Next>
-    auto guarded(Next next) {
-        return [self = shared_from_this(), next](auto failed, auto&&...) {
+    auto unless_closed(Next next) {
+        return [self = shared_from_this(), next](auto error, auto&&...) {
             if (self->closed_) return;
-            failed ? self->end() : next(*self);
+            error ? self->end_connection() : next(*self);
         };
     }
-    void end() {
+    void end_connection() {
         close();
-        ended_();
+        on_end_();
     }
     void read_length() {
-        asio::async_read(socket_, asio::buffer(&length_, sizeof length_), guarded([](HandoverLink& self) {
-            if (self.length_ > kMostFrame) return self.end();
-            self.in_.resize(self.length_);
-            self.read_note();
-        }));
+        asio::async_read(
+            socket_, asio::buffer(&length_, sizeof length_), unless_closed([](HandoverConnection& self) {
+                if (self.length_ > kMaxFrameBytes) return self.end_connection();
+                self.incoming_.resize(self.length_);
+                self.read_message();
+            }));
     }
-    void read_note() {
-        asio::async_read(socket_, asio::buffer(in_), guarded([](HandoverLink& self) {
-            const Json note = Json::from_cbor(self.in_, true, false);
-            if (note.is_discarded() || !note.is_object()) return self.end();
+    void read_message() {
+        asio::async_read(socket_, asio::buffer(incoming_), unless_closed([](HandoverConnection& self) {
+            const Json message = Json::from_cbor(self.incoming_, true, false);
+            if (message.is_discarded() || !message.is_object()) return self.end_connection();
             try {
-                self.heard_(note);
-            } catch (const std::exception& bad) {  // one note must not end what the others carry
-                std::cerr << "handover: " << bad.what() << '\n';
+                self.receive_(message);
+            } catch (const std::exception& error) {  // One bad message must not end the connection.
+                std::cerr << "handover: " << error.what() << '\n';
             }
             if (!self.closed_) self.read_length();
         }));
     }
     void write() {
-        asio::async_write(socket_, asio::buffer(out_.front()), guarded([](HandoverLink& self) {
-            self.out_.pop_front();
-            if (!self.out_.empty()) self.write();
-        }));
+        asio::async_write(
+            socket_, asio::buffer(outgoing_.front()), unless_closed([](HandoverConnection& self) {
+                self.outgoing_.pop_front();
+                if (!self.outgoing_.empty()) self.write();
+            }));
     }
 
     Local::socket socket_;
-    std::function<void(const Json&)> heard_;
-    std::function<void()> ended_;
+    std::function<void(const Json&)> receive_;
+    std::function<void()> on_end_;
     std::uint32_t length_ = 0;
-    std::vector<std::uint8_t> in_;
-    std::deque<std::string> out_;
+    std::vector<std::uint8_t> incoming_;
+    std::deque<std::string> outgoing_;
     bool closed_ = false;
 };
 
@@ -116,11 +125,11 @@
       folder_(std::move(folder)),
       steps_(std::move(steps)),
       acceptor_(io),
-      timer_(io),
-      regain_pause_(io),
-      listen_pause_(io) {}
+      step_timer_(io),
+      regain_timer_(io),
+      listen_timer_(io) {}
 Handover::~Handover() {
-    if (link_) link_->close();
+    if (connection_) connection_->close();
 }
 
 void Handover::claim() { try_claim(); }
@@ -141,118 +150,121 @@
 }
 void Handover::unlock() { ::flock(lock_file_.get(), LOCK_UN); }
 
-/// The folder under a name that is short whatever its own is.
+/// Returns a short name for the socket, whatever the length of the folder's own path.
 static std::string socket_name(const Descriptor& folder) {
     return "/proc/self/fd/" + std::to_string(folder.get()) + "/handover";
 }
 
 void Handover::try_claim() {
     if (!open_folder())
-        return start_again("the folder " + folder_.string() + " cannot be used: " + std::strerror(errno));
+        return start_later("the folder " + folder_.string() + " cannot be used: " + std::strerror(errno));
     if (lock()) return become_owner(std::nullopt);
-    if (!std::exchange(waiting_told_, true)) std::cerr << "handover: another process owns the folder\n";
+    if (!std::exchange(waiting_logged_, true)) std::cerr << "handover: another process owns the folder\n";
     state_ = State::Claiming;
     Local::socket socket(io_);
-    boost::system::error_code failed;
-    socket.connect(socket_name(folder_file_), failed);
-    if (failed) return claim_again();
-    link_ = std::make_shared<HandoverLink>(
-        std::move(socket), [this](const Json& note) { heard(note); }, [this] { ended(); });
-    link_->start();
-    link_->send({{"step", "claim"}});
-    within(kClaimWithin);
+    boost::system::error_code error;
+    socket.connect(socket_name(folder_file_), error);
+    if (error) return claim_later();
+    connection_ = std::make_shared<HandoverConnection>(
+        std::move(socket), [this](const Json& message) { receive(message); }, [this] { connection_ended(); });
+    connection_->start();
+    connection_->send({{"step", "claim"}});
+    start_step_timer(kMaxClaimStepTime);
 }
 
-void Handover::claim_again() {
-    if (link_) link_->close();
-    link_.reset();
-    offer_.reset();
+void Handover::claim_later() {
+    if (connection_) connection_->close();
+    connection_.reset();
+    received_offer_.reset();
     state_ = State::Waiting;
-    timer_.expires_after(kClaimAgain);
-    timer_.async_wait([this, watch = ++watch_](auto) {
-        if (watch == watch_) try {
+    step_timer_.expires_after(kClaimRetryInterval);
+    step_timer_.async_wait([this, timer_id = ++step_timer_id_](auto) {
+        if (timer_id == step_timer_id_) try {
                 try_claim();
-            } catch (const std::exception& bad) {
-                steps_.lost(bad.what());
+            } catch (const std::exception& error) {
+                steps_.fail(error.what());
             }
     });
 }
 
-/// The other one dawdles: what it has not been told go for stays here, or is claimed anew.
-void Handover::within(std::chrono::milliseconds span) {
-    timer_.expires_after(span);
-    timer_.async_wait([this, watch = ++watch_](auto) {
-        if (watch != watch_) return;
-        link_->close();
-        ended();
+/// Limits the time of the next step of the other process. After it the connection is closed: an owner that
+/// has not sent "go" keeps the folder, and a claiming process claims again.
+void Handover::start_step_timer(std::chrono::milliseconds duration) {
+    step_timer_.expires_after(duration);
+    step_timer_.async_wait([this, timer_id = ++step_timer_id_](auto) {
+        if (timer_id != step_timer_id_) return;
+        connection_->close();
+        connection_ended();
     });
 }
-/// Also one that is due already and waits for its turn in the loop.
-void Handover::stop_watch() {
-    ++watch_;
-    timer_.cancel();
+/// Also stops a timer that has expired and whose handler is still queued in the event loop.
+void Handover::stop_step_timer() {
+    ++step_timer_id_;
+    step_timer_.cancel();
 }
 
-void Handover::claimed(const std::string& step, const Json& note) {
+void Handover::handle_owner_step(const std::string& step, const Json& message) {
     if (step == "offer" && state_ == State::Claiming) {
         state_ = State::Claimed;
-        offer_ = note.at("offer");
-        link_->send({{"step", "ready"}});
-        within(kClaimWithin);
+        received_offer_ = message.at("offer");
+        connection_->send({{"step", "ready"}});
+        start_step_timer(kMaxClaimStepTime);
     } else if (step == "go" && state_ == State::Claimed) {
-        stop_watch();
-        if (!lock()) return claim_again();
-        become_owner(std::exchange(offer_, std::nullopt));
+        stop_step_timer();
+        if (!lock()) return claim_later();
+        become_owner(std::exchange(received_offer_, std::nullopt));
     }
 }
 
 void Handover::become_owner(const std::optional<Json>& offer) try {
     state_ = State::Owner;
-    if (!link_) listen();  // with the one before still there, only once that has ended
-    own(offer);
-} catch (const std::exception& bad) {
-    const std::error_code error = system_error_of(bad);
-    if (offer || !worth_another_start(error)) return lost(bad.what(), offer.has_value());
-    boost::system::error_code ignored;
-    acceptor_.close(ignored);
+    if (!connection_) listen();  // While the previous process is connected, only once that has ended.
+    call_become_owner(offer);
+} catch (const std::exception& error) {
+    const std::error_code code = system_error_of(error);
+    if (offer || !is_start_retryable(code)) return fail(error.what(), offer.has_value());
+    boost::system::error_code ignored_error;
+    acceptor_.close(ignored_error);
     unlock();
-    start_again(bad.what());
+    start_later(error.what());
 }
 
-/// The process that had the address before may just be ending; another program will not give it up.
-bool Handover::worth_another_start(const std::error_code& error) {
+/// An address in use is retried for a limited time: the previous process may be about to end, but another
+/// program will not give the address up.
+bool Handover::is_start_retryable(const std::error_code& error) {
     if (error != std::errc::address_in_use) return is_transient(error);
-    if (!in_use_since_) in_use_since_ = std::chrono::steady_clock::now();
-    return std::chrono::steady_clock::now() - *in_use_since_ < kAddressInUse;
+    if (!address_in_use_since_) address_in_use_since_ = std::chrono::steady_clock::now();
+    return std::chrono::steady_clock::now() - *address_in_use_since_ < kMaxAddressInUseTime;
 }
 
-/// What was handed over is nowhere else: it is worth a wait in which nothing else is done.
-void Handover::own(const std::optional<Json>& offer) {
-    for (int attempt = 1; offer && attempt < kOwnAttempts; ++attempt) try {
-            return steps_.own(offer);
-        } catch (const std::exception& bad) {
-            if (!is_transient(system_error_of(bad))) throw;
-            std::this_thread::sleep_for(kClaimAgain);
+/// The offer exists nowhere else, so transient errors are retried here, even though this blocks the event
+/// loop.
+void Handover::call_become_owner(const std::optional<Json>& offer) {
+    for (int attempt = 1; offer && attempt < kMaxBecomeOwnerTries; ++attempt) try {
+            return steps_.become_owner(offer);
+        } catch (const std::exception& error) {
+            if (!is_transient(system_error_of(error))) throw;
+            std::this_thread::sleep_for(kClaimRetryInterval);
         }
-    steps_.own(offer);
+    steps_.become_owner(offer);
 }
 
-void Handover::lost(const std::string& why, bool handed_over) {
-    if (handed_over && link_) link_->close();
-    steps_.lost(why);
+void Handover::fail(const std::string& why, bool handed_over) {
+    if (handed_over && connection_) connection_->close();
+    steps_.fail(why);
 }
 
-/// One line for each cause, however often it is met in a row.
-void Handover::start_again(const std::string& why) {
+/// Logs one line for each cause, however often it occurs in a row.
+void Handover::start_later(const std::string& why) {
     if (std::exchange(last_start_error_, why) != why)
         std::cerr << "handover: waits to start: " << why << '\n';
     state_ = State::Waiting;
-    timer_.expires_after(kStartAgain);
-    timer_.async_wait([this, watch = ++watch_](auto) {
-        if (watch == watch_) try {
+    step_timer_.expires_after(kStartRetryInterval);
+    step_timer_.async_wait([this, timer_id = ++step_timer_id_](auto) {
+        if (timer_id == step_timer_id_) try {
                 try_claim();
-            } catch (const std::exception& bad) {
-                steps_.lost(bad.what());
+            } catch (const std::exception& error) {
+                steps_.fail(error.what());
             }
     });
 }
@@ -260,16 +272,16 @@
 void Handover::listen() {
     const std::string name = socket_name(folder_file_);
     ::unlink(name.c_str());
-    boost::system::error_code failed;
-    acceptor_.open(Local(), failed);
-    if (!failed) acceptor_.set_option(kReportAborted, failed);
-    if (!failed) acceptor_.bind(Local::endpoint(name), failed);
-    if (!failed) acceptor_.listen(asio::socket_base::max_listen_connections, failed);
-    if (failed) {  // the forwarder works without; only its process cannot be replaced in service until then
-        const std::string why = failed.message();
+    boost::system::error_code error;
+    acceptor_.open(Local(), error);
+    if (!error) acceptor_.set_option(kReportAborted, error);
+    if (!error) acceptor_.bind(Local::endpoint(name), error);
+    if (!error) acceptor_.listen(asio::socket_base::max_listen_connections, error);
+    if (error) {  // The forwarder works without it, but cannot hand over to another process until then.
+        const std::string why = error.message();
         if (std::exchange(last_listen_error_, why) != why)
             std::cerr << "handover: cannot listen: " << why << '\n';
-        acceptor_.close(failed);
+        acceptor_.close(error);
         return listen_later();
     }
     last_listen_error_.clear();
@@ -277,74 +289,76 @@
 }
 
 void Handover::listen_later() {
-    listen_pause_.expires_after(kStartAgain);
-    listen_pause_.async_wait([this](auto cancelled) {
-        if (!cancelled && state_ == State::Owner && !link_ && !acceptor_.is_open()) listen();
+    listen_timer_.expires_after(kStartRetryInterval);
+    listen_timer_.async_wait([this](auto cancelled) {
+        if (!cancelled && state_ == State::Owner && !connection_ && !acceptor_.is_open()) listen();
     });
 }
 
-/// One at a time, and none while there is another process already.
+/// Accepts one connection at a time, and none while another process is connected.
 void Handover::accept() {
-    acceptor_.async_accept([this](auto failed, Local::socket socket) {
-        if (failed == asio::error::operation_aborted || state_ != State::Owner || link_) return;
-        if (failed) {  // such as one for want of descriptors
-            regain_pause_.expires_after(kClaimAgain);
-            return regain_pause_.async_wait([this](auto cancelled) {
+    acceptor_.async_accept([this](auto error, Local::socket socket) {
+        if (error == asio::error::operation_aborted || state_ != State::Owner || connection_) return;
+        if (error) {  // For example, no descriptor is free.
+            regain_timer_.expires_after(kClaimRetryInterval);
+            return regain_timer_.async_wait([this](auto cancelled) {
                 if (!cancelled && acceptor_.is_open()) accept();
             });
         }
-        link_ = std::make_shared<HandoverLink>(
-            std::move(socket), [this](const Json& note) { heard(note); }, [this] { ended(); });
-        link_->start();
-        within(kOfferWithin);
+        connection_ = std::make_shared<HandoverConnection>(
+            std::move(socket), [this](const Json& message) { receive(message); },
+            [this] { connection_ended(); });
+        connection_->start();
+        start_step_timer(kMaxOfferStepTime);
     });
 }
 
-void Handover::asked(const std::string& step) {
+void Handover::handle_claimant_step(const std::string& step) {
     if (step == "claim" && state_ == State::Owner && acceptor_.is_open()) {
         state_ = State::Offered;
-        link_->send({{"step", "offer"}, {"offer", steps_.offer()}});
-        within(kOfferWithin);
+        connection_->send({{"step", "offer"}, {"offer", steps_.offer()}});
+        start_step_timer(kMaxOfferStepTime);
     } else if (step == "ready" && state_ == State::Offered) {
-        stop_watch();
-        boost::system::error_code ignored;
-        acceptor_.close(ignored);  // the other one listens from now on
-        steps_.let_go();
+        stop_step_timer();
+        boost::system::error_code ignored_error;
+        acceptor_.close(ignored_error);  // The other process listens from now on.
+        steps_.release_files();
         unlock();
         state_ = State::Released;
-        link_->send({{"step", "go"}});
+        connection_->send({{"step", "go"}});
         steps_.released();
     }
 }
 
-void Handover::heard(const Json& note) {
-    const auto step = note.find("step");
-    if (step == note.end()) return steps_.told(note);
+void Handover::receive(const Json& message) {
+    const auto step = message.find("step");
+    if (step == message.end()) return steps_.receive(message);
     const auto name = step->get<std::string>();
-    state_ == State::Claiming || state_ == State::Claimed ? claimed(name, note) : asked(name);
+    state_ == State::Claiming || state_ == State::Claimed ? handle_owner_step(name, message)
+                                                          : handle_claimant_step(name);
 }
 
-void Handover::tell(const Json& note) {
-    if (link_) link_->send(note);
+void Handover::send(const Json& message) {
+    if (connection_) connection_->send(message);
 }
 
-/// The connection has ended, and with it, mostly, the other process.
-void Handover::ended() {
-    stop_watch();
-    const State before = state_;
-    link_.reset();
-    if (before == State::Claiming || before == State::Claimed) return claim_again();
-    if (before == State::Released) {
+/// The connection has ended, usually because the other process has.
+void Handover::connection_ended() {
+    stop_step_timer();
+    const State previous_state = state_;
+    connection_.reset();
+    if (previous_state == State::Claiming || previous_state == State::Claimed) return claim_later();
+    if (previous_state == State::Released) {
         regain_tries_ = 0;
         return regain();
     }
     state_ = State::Owner;
     const bool listening = acceptor_.is_open();
     listening ? accept() : listen();
-    if (before == State::Offered)
+    if (previous_state == State::Offered)
         steps_.take_back(true);
     else if (!listening)
-        steps_.left();
+        steps_.predecessor_ended();
 }
 
 void Handover::regain() try {
@@ -352,19 +366,19 @@
     state_ = State::Owner;
     listen();
     steps_.take_back(false);
-} catch (const std::exception& bad) {
-    if (!is_transient(system_error_of(bad))) return steps_.lost(bad.what());
+} catch (const std::exception& error) {
+    if (!is_transient(system_error_of(error))) return steps_.fail(error.what());
     state_ = State::Released;
-    boost::system::error_code ignored;
-    acceptor_.close(ignored);
+    boost::system::error_code ignored_error;
+    acceptor_.close(ignored_error);
     unlock();
-    regain_later(bad.what());
+    regain_later(error.what());
 }
 
 void Handover::regain_later(const std::string& why) {
-    if (++regain_tries_ > kRegainTries) return steps_.lost(why);
-    regain_pause_.expires_after(kRegainPause);
-    regain_pause_.async_wait([this](auto cancelled) {
+    if (++regain_tries_ > kMaxRegainTries) return steps_.fail(why);
+    regain_timer_.expires_after(kRegainInterval);
+    regain_timer_.async_wait([this](auto cancelled) {
         if (!cancelled) regain();
     });
 }
--- a/src/net/peer_channel.hpp
+++ b/src/net/peer_channel.hpp
@@ -1,4 +1,4 @@
-/// Notes between forwarders: UDP datagrams, late or not at all.
+/// Messages between forwarders. They are UDP datagrams, which may arrive late or not at all.
 #pragma once
 
 #include <array>
@@ -14,23 +14,24 @@
 public:
     using Receive = std::function<void(cometspoke::PeerMessage)>;
 
-    PeerChannel(asio::io_context& io, const Config& config, Receive note);
+    PeerChannel(asio::io_context& io, const Config& config, Receive receive);
 
     void start();
-    /// So that another process can bind the address.
+    /// Closes the socket so that another process can bind the address.
     void stop();
+    /// Sends to one peer, or to all peers if `to` is empty.
     void send(std::optional<std::size_t> to, const std::string& bytes);
 
 private:
-    void receive();
+    void receive_next();
 
-    static constexpr std::size_t kMostBytes = 256;  // a longer one is not allowed
+    static constexpr std::size_t kMaxDatagramBytes = 256;  // Longer ones are not allowed.
 
     const Config& config_;
-    Receive note_;
+    Receive receive_;
     Udp::socket socket_;
     Udp::endpoint from_;
-    std::array<char, kMostBytes + 1> in_{};
+    std::array<char, kMaxDatagramBytes + 1> buffer_{};
 };
 
 }  // namespace lockgw
