--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -19,23 +19,29 @@
 
 namespace {
 
-constexpr auto kAcceptPause = 20ms;  // after a failed accept, such as one for want of descriptors
-constexpr int kAcceptErrors = 64;    // tried again at once so often
-constexpr auto kSweep = 200ms;
-constexpr auto kSilent = 2s;      // a client that has asked for nothing is waited for so long,
-constexpr auto kUnfinished = 2s;  // so long for the rest of a command,
-constexpr auto kUnread = 2s;      // so long for a client to take its answer,
-constexpr auto kLinger = 500ms;   // and so long for it to read a last -ERR
-constexpr auto kIdle = std::chrono::seconds(60);          // between requests; where room is short only
-constexpr auto kIdleWhenShort = std::chrono::seconds(2);  // so long
-constexpr auto kJustConnected = 100ms;                    // its request is likely on the way
-constexpr std::size_t kBufferShare = 8;                   // of the memory: for commands that have not ended
-constexpr std::size_t kMostDiscarded = 256 * 1024;        // of what follows a last -ERR
-constexpr double kLongestMs = 86.4e6;                     // a day: no class keeps a message so long
-constexpr std::size_t kLongestKey = 128;
+// The pause after a failed accept, for example one that failed for lack of descriptors.
+constexpr auto kAcceptRetryPause = 20ms;
+// After this many accept errors in a row, accepting pauses.
+constexpr int kMaxConsecutiveAcceptErrors = 64;
+constexpr auto kExpiryCheckInterval = 200ms;
+constexpr auto kMaxWaitForFirstCommand = 2s;
+constexpr auto kMaxPartialCommandTime = 2s;  // the time for the rest of a command to arrive
+constexpr auto kMaxReplyWriteTime = 2s;      // the time for a client to read its reply
+constexpr auto kMaxLingerTime = 500ms;       // the time for a client to read the last reply, such as -ERR
+constexpr auto kMaxIdleTime = std::chrono::seconds(60);  // between requests
+// The idle limit when more than half of the allowed connections are open.
+constexpr auto kMaxIdleTimeWhenCrowded = std::chrono::seconds(2);
+// The first request of a connection younger than this is probably on its way.
+constexpr auto kNewConnectionGrace = 100ms;
+// Incomplete commands may take 1/8 of the memory limit.
+constexpr std::size_t kPartialCommandMemoryDivisor = 8;
+// The number of bytes that are read and discarded after the last reply.
+constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
+constexpr double kMaxDeadline_ms = 86.4e6;  // one day: no class holds a message for longer
+constexpr std::size_t kMaxKeyBytes = 128;
 
 template <class T>
-T number_of(std::string_view text, const char* what) {
+T parse_number(std::string_view text, const char* what) {
     T value{};
     const char* end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, value);
@@ -44,31 +50,33 @@
     return value;
 }
 
-/// "c=notice,t=acme,d=8000" as names and values; a name that is unknown here is passed over.
-std::map<std::string, std::string> pairs_of(const std::string& text) {
+/// Parses text such as "c=notice,t=acme,d=8000" to names and values. Unknown names are kept; no caller reads
+/// them.
+std::map<std::string, std::string> parse_pairs(const std::string& text) {
     std::map<std::string, std::string> pairs;
     for (std::size_t at = 0; at < text.size();) {
         const std::size_t end = std::min(text.find(',', at), text.size());
         const std::string pair = text.substr(at, end - at);
-        const std::size_t equals = pair.find('=');
-        if (equals == std::string::npos) throw InvalidInput("a name without a value");
-        pairs.insert_or_assign(pair.substr(0, equals), pair.substr(equals + 1));
+        const std::size_t separator = pair.find('=');
+        if (separator == std::string::npos) throw InvalidInput("a name without a value");
+        pairs.insert_or_assign(pair.substr(0, separator), pair.substr(separator + 1));
         at = end + 1;
     }
     return pairs;
 }
 
-/// The key goes on as a header of the call: nothing that could end a header line may be in it.
+/// The key is sent as a header of the HTTP call, so it must not contain anything that could end a header
+/// line.
 void check_key(const std::string& key) {
-    if (key.size() > kLongestKey) throw InvalidInput("k is too long");
-    for (const char letter : key)
-        if (letter <= ' ' || letter > '~') throw InvalidInput("k holds an unprintable character");
+    if (key.size() > kMaxKeyBytes) throw InvalidInput("k is too long");
+    for (const char character : key)
+        if (character <= ' ' || character > '~') throw InvalidInput("k holds an unprintable character");
 }
 
-/// The first argument of ENQUEUE: up to 16 hex digits. All zeros stand for no key.
-std::optional<std::uint64_t> order_key_of(const std::string& text) {
-    constexpr std::size_t most_digits = 16;
-    if (text.empty() || text.size() > most_digits ||
+/// Parses the first argument of ENQUEUE, which has up to 16 hex digits. A value of zero means no key.
+std::optional<std::uint64_t> parse_order_key(const std::string& text) {
+    constexpr std::size_t max_digits = 16;
+    if (text.empty() || text.size() > max_digits ||
         text.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos)
         throw InvalidInput("the order key is not 1 to 16 hex digits");
     const std::uint64_t key = std::stoull(text, nullptr, 16);
@@ -80,7 +88,7 @@
 Message message_of(
     const resp::Command& command, const Config& config, PersistentTime now, cometspoke::Time& left) {
     if (command.size() != 5) throw InvalidInput("wrong number of arguments for ENQUEUE");
-    auto pairs = pairs_of(command[3]);
+    auto pairs = parse_pairs(command[3]);
     const auto value = [&pairs](const char* name) -> const std::string& {
         const auto found = pairs.find(name);
         if (found == pairs.end()) throw InvalidInput(std::string("missing ") + name);
@@ -95,21 +103,21 @@
         index_of(config.names.tenants, message.tenant, "tenant");
     }
     message.class_settings = config.settings.classes[index];
-    if (message.class_settings->sequential) message.order_key = order_key_of(command[1]);
-    const bool keyed = message.class_settings->delivery == cometspoke::DeliverySemantics::Deduplicated;
-    if (keyed || pairs.contains("k")) message.key = value("k");
+    if (message.class_settings->sequential) message.order_key = parse_order_key(command[1]);
+    const bool key_required = message.class_settings->delivery == cometspoke::DeliverySemantics::Deduplicated;
+    if (key_required || pairs.contains("k")) message.key = value("k");
     check_key(message.key);
-    message.destination = number_of<std::int64_t>(value("dest"), "dest");
-    const auto left_ms = number_of<double>(value("d"), "d");
-    if (!(left_ms >= 0 && left_ms <= kLongestMs)) throw InvalidInput("bad number for d");
-    // no message of the class may be delivered for longer, whatever its client says
+    message.destination = parse_number<std::int64_t>(value("dest"), "dest");
+    const auto left_ms = parse_number<double>(value("d"), "d");
+    if (!(left_ms >= 0 && left_ms <= kMaxDeadline_ms)) throw InvalidInput("bad number for d");
+    // The deadline of the class limits the one that the client asks for.
     left = std::min(cometspoke::settings::from_ms(left_ms), message.class_settings->deadline);
     message.deadline = now + left;
     message.body = command[4];
     return message;
 }
 
-/// One connection: reads a command, has it answered, writes the answer, and only then goes on.
+/// One connection. It reads a command, has it handled, and writes the reply before it reads the next command.
 class ClientSession : public std::enable_shared_from_this<ClientSession> {
 public:
     using State = ClientServer::State;
@@ -120,15 +128,15 @@
         boost::system::error_code ignored;
         socket_.set_option(Tcp::no_delay(true), ignored);
         socket_.non_blocking(true, ignored);
-        auto& silent = owner_.sessions_[state_];
-        place_ = silent.insert(silent.end(), shared_from_this());
-        ++owner_.count_;
-        await();
+        auto& sessions = owner_.sessions_[state_];
+        position_ = sessions.insert(sessions.end(), shared_from_this());
+        ++owner_.connection_count_;
+        wait_for_data();
     }
 
-    Clock::time_point since() const { return since_; }
-    /// Something has come that is not read yet: to close now would lose a request.
-    bool unread() {
+    Clock::time_point state_since() const { return state_since_; }
+    /// Whether the socket has data that was not read yet. Closing now would lose a request.
+    bool has_unread_data() {
         boost::system::error_code failed;
         return socket_.available(failed) > 0;
     }
@@ -139,138 +147,141 @@
         boost::system::error_code ignored;
         socket_.close(ignored);
         const auto self = shared_from_this();
-        owner_.sessions_[state_].erase(place_);
-        --owner_.count_;
-        owner_.buffered_ -= std::exchange(buffered_, 0);
+        owner_.sessions_[state_].erase(position_);
+        --owner_.connection_count_;
+        owner_.buffered_bytes_ -= std::exchange(buffered_bytes_, 0);
         owner_.accept();
         if (owner_.empty()) owner_.emptied_();
     }
 
-    /// Between requests: it has its answers, and what comes from now on is of a request that was not read.
-    void leave() {
-        last_ = true;
-        finish();
+    /// Ends a connection between requests. All its requests have their replies, and data that arrives from
+    /// now on belongs to requests that are not read.
+    void close_gracefully() {
+        closing_ = true;
+        shut_down_sending();
     }
-    /// A last answer, and a close once it is written.
-    void turn_away(const std::string& why) {
-        last_ = true;
+    /// Writes an error as the last reply and closes the connection after it.
+    void reject(const std::string& why) {
+        closing_ = true;
         parser_ = resp::Parser();
         count_buffered();
         write(resp::error("ERR " + why));
     }
 
 private:
-    void enter(State state) {
-        since_ = Clock::now();
-        auto& place = owner_.sessions_[state];
-        place.splice(place.end(), owner_.sessions_[state_], place_);
+    void set_state(State state) {
+        state_since_ = Clock::now();
+        auto& sessions = owner_.sessions_[state];
+        sessions.splice(sessions.end(), owner_.sessions_[state_], position_);
         state_ = state;
     }
 
-    /// No buffer of its own: many connections are silent.
-    void await() {
-        if (std::exchange(awaiting_, true)) return;
+    /// A waiting connection has no read buffer of its own, because many connections send nothing.
+    void wait_for_data() {
+        if (std::exchange(waiting_for_data_, true)) return;
         socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this()](auto failed) {
-            self->awaiting_ = false;
+            self->waiting_for_data_ = false;
             if (self->closed_) return;
-            // whatever the wait says, the read tells whether the connection has ended
-            classify(failed) == SocketResult::Cancelled ? self->close() : self->take();
+            // An error of the wait is ignored because the read reports the end of the connection.
+            classify(failed) == SocketResult::Cancelled ? self->close() : self->read_available();
         });
     }
-    void take() try {
-        const ReadResult read = read_available(socket_, asio::buffer(owner_.in_));
-        if (read.result == SocketResult::NotReady) return await();
+    void read_available() try {
+        const ReadResult read = lockgw::read_available(socket_, asio::buffer(owner_.read_buffer_));
+        if (read.result == SocketResult::NotReady) return wait_for_data();
         if (read.result != SocketResult::Done) return close();
-        if (last_) return discard(read.count);
-        parser_.feed({owner_.in_.data(), read.count});
-        next();
-    } catch (const std::exception& fault) {
-        std::cerr << "client: " << fault.what() << '\n';
+        if (closing_) return discard(read.count);
+        parser_.feed({owner_.read_buffer_.data(), read.count});
+        process_next_command();
+    } catch (const std::exception& error) {
+        std::cerr << "client: " << error.what() << '\n';
         close();
     }
 
-    void next() try {
+    void process_next_command() try {
         const auto command = parser_.next();
         count_buffered();
         if (command) {
-            enter(State::Asked);
-            return owner_.handle(
-                *command, [self = shared_from_this()](std::string text) { self->answer(std::move(text)); });
+            set_state(State::AwaitingReply);
+            return owner_.handle(*command,
+                [self = shared_from_this()](std::string text) { self->send_reply(std::move(text)); });
         }
         if (parser_.midway()) {
-            if (state_ != State::Partly) enter(State::Partly);
-            owner_.bound_buffers();
-            if (last_) return;
+            if (state_ != State::PartialCommand) set_state(State::PartialCommand);
+            owner_.limit_buffered_bytes();
+            if (closing_) return;
         } else {
-            if (owner_.sending_off_ && state_ != State::Silent && !unread()) return leave();
-            if (state_ == State::Writing) enter(State::Idle);  // an empty command is no rest after one
-            owner_.accept();  // at the limit its place may go to a client that waits
+            if (owner_.closing_between_requests_ && state_ != State::NoCommandYet && !has_unread_data())
+                return close_gracefully();
+            if (state_ == State::WritingReply)
+                set_state(State::Idle);  // An empty command does not restart the idle time.
+            owner_.accept();  // At the limit this connection may be closed in favor of one that waits.
             if (closed_) return;
         }
-        await();
+        wait_for_data();
     } catch (const resp::Unreadable& bad) {
-        turn_away(bad.what());
+        reject(bad.what());
     }
 
     void count_buffered() {
-        owner_.buffered_ += parser_.held() - buffered_;
-        buffered_ = parser_.held();
+        owner_.buffered_bytes_ += parser_.held() - buffered_bytes_;
+        buffered_bytes_ = parser_.held();
     }
 
-    void answer(std::string text) {
+    void send_reply(std::string text) {
         if (!closed_) write(std::move(text));
     }
     void write(std::string text) {
-        enter(State::Writing);
-        out_ = std::move(text);
-        write_all(socket_, out_, [self = shared_from_this()](const auto& failed, std::size_t) {
+        set_state(State::WritingReply);
+        reply_ = std::move(text);
+        write_all(socket_, reply_, [self = shared_from_this()](const auto& failed, std::size_t) {
             if (self->closed_) return;
             if (failed) return self->close();
-            self->last_ ? self->finish() : self->next();
+            self->closing_ ? self->shut_down_sending() : self->process_next_command();
         });
     }
 
-    /// Closing with bytes unread, or just before some come, would reset the connection and might take an
-    /// answer with it.
-    void finish() {
-        enter(State::Leaving);
+    /// Shuts down sending only. Closing the socket with data unread, or just before data arrives, would reset
+    /// the connection, and the client might lose a reply.
+    void shut_down_sending() {
+        set_state(State::Closing);
         boost::system::error_code ignored;
         socket_.shutdown(Tcp::socket::shutdown_send, ignored);
-        await();
+        wait_for_data();
     }
     void discard(std::size_t count) {
-        discarded_ += count;
-        discarded_ > kMostDiscarded ? close() : await();
+        discarded_bytes_ += count;
+        discarded_bytes_ > kMaxDiscardedBytes ? close() : wait_for_data();
     }
 
     Tcp::socket socket_;
     ClientServer& owner_;
-    State state_ = State::Silent;
-    ClientServer::Sessions::iterator place_;
-    Clock::time_point since_ = Clock::now();
+    State state_ = State::NoCommandYet;
+    ClientServer::Sessions::iterator position_;
+    Clock::time_point state_since_ = Clock::now();
     resp::Parser parser_;
-    std::string out_;
-    std::size_t buffered_ = 0, discarded_ = 0;
-    bool awaiting_ = false, last_ = false, closed_ = false;
+    std::string reply_;
+    std::size_t buffered_bytes_ = 0, discarded_bytes_ = 0;
+    bool waiting_for_data_ = false, closing_ = false, closed_ = false;
 };
 
 ClientServer::ClientServer(asio::io_context& io, const Config& config, const PersistentClock& clock,
-    std::size_t most_connections, Enqueue enqueue, Emptied emptied)
+    std::size_t max_connections, Enqueue enqueue, Emptied emptied)
     : io_(io),
       config_(config),
       clock_(clock),
-      most_(most_connections),
+      max_connections_(max_connections),
       enqueue_(std::move(enqueue)),
       emptied_(std::move(emptied)),
       acceptor_(io),
-      pause_(io),
-      sweep_(io) {}
+      accept_retry_timer_(io),
+      expiry_timer_(io) {}
 ClientServer::~ClientServer() = default;
 
 void ClientServer::open() try {
     if (acceptor_.is_open()) return;
     if (config_.inherited_listener) {
-        // marked: no program that this one may start has any use for it
+        // Programs that this process starts must not inherit the listener.
         ::fcntl(*config_.inherited_listener, F_SETFD, FD_CLOEXEC);
         acceptor_.assign(config_.listen.protocol(), *config_.inherited_listener);
     } else {
@@ -286,7 +297,7 @@
 }
 void ClientServer::listen() {
     accept();
-    sweep();
+    close_expired();
 }
 
 void ClientServer::pause() {
@@ -307,30 +318,33 @@
     }
     set_closing_between_requests(true);
 }
-/// Closed and never shut down: the socket itself is shared with the other process and the platform.
+/// Closes the descriptor without a shutdown, because the socket is shared with the other process and the
+/// platform.
 void ClientServer::close_listener() {
     boost::system::error_code ignored;
     acceptor_.close(ignored);
 }
 
 void ClientServer::accept() {
-    if (paused_ || !acceptor_.is_open() || draining_ || accepting_ || !make_room())
-        return;  // room is made by a close, which may accept too
+    if (paused_ || !acceptor_.is_open() || draining_ || accepting_ || !ensure_capacity()) return;
+    // ensure_capacity() may have closed a session, which calls accept() itself.
     if (accepting_) return;
     accepting_ = true;
-    // each wait arms the event loop anew: what an error of one accept leaves in the queue is told again
+    // Each wait arms the event loop again, so that connections which are left in the queue after a failed
+    // accept are reported again.
     acceptor_.async_wait(Tcp::acceptor::wait_read, [this](auto failed) {
         accepting_ = false;
-        if ((draining_ || paused_) && failed) return accept();  // which goes on if that is over by now
+        if ((draining_ || paused_) && failed) return accept();  // The drain or the pause may be over by now.
         if (draining_ || paused_ || !acceptor_.is_open()) return;
         const SocketResult result = accept_one();
-        const bool passes = result == SocketResult::Done || result == SocketResult::NotReady;
-        // an error of the one connection that was to be accepted: another may wait behind it
-        if (passes || (result != SocketResult::LocalShortage && ++accept_errors_ < kAcceptErrors))
+        const bool no_error = result == SocketResult::Done || result == SocketResult::NotReady;
+        // The error may concern only the connection that was to be accepted, and others may wait behind it.
+        if (no_error || (result != SocketResult::LocalShortage &&
+                            ++consecutive_accept_errors_ < kMaxConsecutiveAcceptErrors))
             return accept();
-        accept_errors_ = 0;
-        pause_.expires_after(kAcceptPause);
-        pause_.async_wait([this](auto cancelled) {
+        consecutive_accept_errors_ = 0;
+        accept_retry_timer_.expires_after(kAcceptRetryPause);
+        accept_retry_timer_.async_wait([this](auto cancelled) {
             if (!cancelled) accept();
         });
     });
@@ -343,13 +357,13 @@
         if (result != SocketResult::NotReady) counters().add(Counter::AcceptRetries);
         return result;
     }
-    accept_errors_ = 0;
-    serve(std::make_shared<Descriptor>(std::move(connection)));
+    consecutive_accept_errors_ = 0;
+    start_session(std::make_shared<Descriptor>(std::move(connection)));
     return SocketResult::Done;
 }
 
-/// Where the event loop lacks memory for one more connection it waits, and is not closed.
-void ClientServer::serve(const std::shared_ptr<Descriptor>& connection) {
+/// If the event loop lacks memory for one more connection, the connection is retried later and not closed.
+void ClientServer::start_session(const std::shared_ptr<Descriptor>& connection) {
     Tcp::socket socket(io_);
     boost::system::error_code failed;
     socket.assign(config_.listen.protocol(), connection->get(), failed);
@@ -360,53 +374,62 @@
     }
     counters().add(Counter::AcceptRetries);
     const auto pause = std::make_shared<asio::steady_timer>(io_, kShortageRetryDelay);
-    pause->async_wait([this, pause, connection](auto) { serve(connection); });
+    pause->async_wait([this, pause, connection](auto) { start_session(connection); });
 }
 
-std::size_t ClientServer::most() const { return most_ - std::min(elsewhere_, most_ / 2); }
+std::size_t ClientServer::connection_limit() const {
+    return max_connections_ - std::min(reserved_connections_, max_connections_ / 2);
+}
 
-/// At the limit one that has its answer or has asked for nothing goes, the longest so first; half a command
-/// and what was just connected come last, and one with a request open never goes.
-bool ClientServer::make_room() {
-    if (count_ < most()) return true;
-    return close_first(Leaving, 0s) || close_first(Silent, kJustConnected) ||
-           close_first(Idle, kIdleWhenShort) || close_first(Partly, kUnfinished / 4) ||
-           close_first(Idle, 0s) || close_first(Silent, 0s);
+/// Returns whether one more connection may be accepted. At the limit it closes the oldest connection that has
+/// got its last reply or has no request. Connections that have sent half a command or were just opened are
+/// the last choice, and a connection with an open request is never closed.
+bool ClientServer::ensure_capacity() {
+    if (connection_count_ < connection_limit()) return true;
+    return close_oldest(Closing, 0s) || close_oldest(NoCommandYet, kNewConnectionGrace) ||
+           close_oldest(Idle, kMaxIdleTimeWhenCrowded) ||
+           close_oldest(PartialCommand, kMaxPartialCommandTime / 4) || close_oldest(Idle, 0s) ||
+           close_oldest(NoCommandYet, 0s);
 }
-/// The one that came to this state first, if that is so long ago. One that rests and has sent something is
-/// passed over, but for one that has never got to ask for anything.
-bool ClientServer::close_first(State state, Clock::duration rest) {
+/// Closes the session that has been longest in the state, if it has been there for `min_age`. Sessions
+/// without a request are skipped if they have unread data, unless they have failed to send a first command in
+/// time.
+bool ClientServer::close_oldest(State state, Clock::duration min_age) {
     for (const auto& session : sessions_[state]) {
-        const auto age = Clock::now() - session->since();
-        if (age < rest) return false;
-        const bool asks = state == Idle || (state == Silent && age < kSilent + 2 * kSweep);
-        if (asks && session->unread()) continue;
+        const auto age = Clock::now() - session->state_since();
+        if (age < min_age) return false;
+        const bool may_have_request =
+            state == Idle ||
+            (state == NoCommandYet && age < kMaxWaitForFirstCommand + 2 * kExpiryCheckInterval);
+        if (may_have_request && session->has_unread_data()) continue;
         std::shared_ptr(session)->close();
         return true;
     }
     return false;
 }
 
-/// Many that each send half of a long command must not fill the memory.
-void ClientServer::bound_buffers() {
-    const std::size_t most = config_.memory_bytes / kBufferShare;
-    while (buffered_ > most && !sessions_[Partly].empty())
-        std::shared_ptr(sessions_[Partly].front())->turn_away("too much at once");
+/// Many clients that each send half of a long command must not exhaust the memory.
+void ClientServer::limit_buffered_bytes() {
+    const std::size_t max_bytes = config_.memory_bytes / kPartialCommandMemoryDivisor;
+    while (buffered_bytes_ > max_bytes && !sessions_[PartialCommand].empty())
+        std::shared_ptr(sessions_[PartialCommand].front())->reject("too much at once");
 }
 
-/// What is owed to every connection in time: an answer or a close.
-void ClientServer::sweep() {
-    while (close_first(Silent, kSilent)) continue;
-    while (close_first(Writing, kUnread)) continue;
-    while (close_first(Leaving, kLinger)) continue;
-    while (close_first(Idle, count_ > most() / 2 ? kIdleWhenShort : kIdle)) continue;
-    Sessions& partly = sessions_[Partly];
-    while (!partly.empty() && Clock::now() - partly.front()->since() >= kUnfinished)
-        std::shared_ptr(partly.front())->turn_away("a command without an end");
-    accept();  // some may have become old enough to make room
-    sweep_.expires_after(kSweep);
-    sweep_.async_wait([this](auto cancelled) {
-        if (!cancelled) sweep();
+/// Runs periodically and ends the sessions that have been in their state for too long.
+void ClientServer::close_expired() {
+    while (close_oldest(NoCommandYet, kMaxWaitForFirstCommand)) continue;
+    while (close_oldest(WritingReply, kMaxReplyWriteTime)) continue;
+    while (close_oldest(Closing, kMaxLingerTime)) continue;
+    while (close_oldest(
+        Idle, connection_count_ > connection_limit() / 2 ? kMaxIdleTimeWhenCrowded : kMaxIdleTime))
+        continue;
+    Sessions& partial = sessions_[PartialCommand];
+    while (!partial.empty() && Clock::now() - partial.front()->state_since() >= kMaxPartialCommandTime)
+        std::shared_ptr(partial.front())->reject("a command without an end");
+    accept();  // Sessions may have become old enough to be closed for new ones.
+    expiry_timer_.expires_after(kExpiryCheckInterval);
+    expiry_timer_.async_wait([this](auto cancelled) {
+        if (!cancelled) close_expired();
     });
 }
 
@@ -416,62 +439,65 @@
     acceptor_.cancel(ignored);
     close_listener_when_empty();
     set_closing_between_requests(true);
-    close_resting(Silent);
+    close_inactive(NoCommandYet);
 }
 
-/// While accept fails for want of something, connections may wait in the queue with their requests.
+/// While accept fails for lack of a resource, connections may wait in the queue with requests already sent,
+/// so the listener stays open until the queue is empty.
 void ClientServer::close_listener_when_empty() {
     if (!acceptor_.is_open()) return;
     if (paused_ || accept_waiting()) return close_listener();
-    pause_.expires_after(kAcceptPause);
-    pause_.async_wait([this](auto cancelled) {
+    accept_retry_timer_.expires_after(kAcceptRetryPause);
+    accept_retry_timer_.async_wait([this](auto cancelled) {
         if (cancelled || !draining_) return;
         close_listener_when_empty();
-        close_resting(Silent);
+        close_inactive(NoCommandYet);
         if (empty()) emptied_();
     });
 }
 
-void ClientServer::set_closing_between_requests(bool off) {
-    sending_off_ = off;
-    if (off) close_resting(Idle);
+void ClientServer::set_closing_between_requests(bool closing) {
+    closing_between_requests_ = closing;
+    if (closing) close_inactive(Idle);
 }
 
-void ClientServer::close_resting(State state) {
-    const auto rest = state == Silent ? kJustConnected : Clock::duration(0);
-    const Sessions all = sessions_[state];
-    for (const auto& session : all)
-        if (!session->unread() && Clock::now() - session->since() >= rest) session->leave();
+void ClientServer::close_inactive(State state) {
+    const auto min_age = state == NoCommandYet ? kNewConnectionGrace : Clock::duration(0);
+    const Sessions sessions = sessions_[state];
+    for (const auto& session : sessions)
+        if (!session->has_unread_data() && Clock::now() - session->state_since() >= min_age)
+            session->close_gracefully();
 }
 
-/// Closing the listener resets connections that wait in its queue, with the requests written to them.
+/// Accepts all connections that wait in the queue, because closing the listener would reset them and lose the
+/// requests that they have sent. Returns false if some may be left that cannot be accepted at present.
 bool ClientServer::accept_waiting() {
     int errors = 0;
-    while (count_ < most()) {
+    while (connection_count_ < connection_limit()) {
         const SocketResult result = accept_one();
         if (result == SocketResult::NotReady || result == SocketResult::Cancelled) return true;
-        if (result != SocketResult::Done && ++errors >= kAcceptErrors) return false;
+        if (result != SocketResult::Done && ++errors >= kMaxConsecutiveAcceptErrors) return false;
     }
     return true;
 }
 
-void ClientServer::handle(const resp::Command& command, const Reply& answer) {
+void ClientServer::handle(const resp::Command& command, const Reply& reply) {
     using boost::algorithm::iequals;
-    if (iequals(command[0], "PING") && saying_no_) return answer(resp::error("BUSY draining"));
+    if (iequals(command[0], "PING") && unready_) return reply(resp::error("BUSY draining"));
     if (iequals(command[0], "PING"))
-        return answer(command.size() == 2 ? resp::bulk(command[1]) : resp::simple("PONG"));
-    if (!iequals(command[0], "ENQUEUE")) return answer(resp::error("ERR unknown command"));
+        return reply(command.size() == 2 ? resp::bulk(command[1]) : resp::simple("PONG"));
+    if (!iequals(command[0], "ENQUEUE")) return reply(resp::error("ERR unknown command"));
     cometspoke::Time left{0};
     Message message;
     try {
         message = message_of(command, config_, clock_.now(), left);
     } catch (const InvalidInput& bad) {
         std::string text = std::string("ERR ") + bad.what();
-        for (char& letter : text)  // what the client sent stands in it
-            if (letter < ' ' || letter > '~') letter = '?';
-        return answer(resp::error(text));
+        for (char& character : text)  // The text may contain bytes that the client sent.
+            if (character < ' ' || character > '~') character = '?';
+        return reply(resp::error(text));
     }
-    enqueue_(std::move(message), left, answer);
+    enqueue_(std::move(message), left, reply);
 }
 
 }  // namespace lockgw
--- a/src/net/client_server.hpp
+++ b/src/net/client_server.hpp
@@ -1,7 +1,7 @@
-/// The listener and its client connections: RESP2 requests in, one answer for each.
+/// The client listener and its connections: reads RESP2 requests and writes one reply to each.
 ///
-/// Anybody may connect, and send anything or nothing. Every connection gets an answer or a close in time, and
-/// those that ask for nothing never keep out one that does.
+/// Anybody may connect and send anything or nothing. Every connection is replied to or closed within a
+/// bounded time, and connections without a request never keep out one that has a request.
 #pragma once
 
 #include <array>
@@ -24,87 +24,89 @@
 class ClientServer {
 public:
     using Reply = std::function<void(std::string)>;
-    /// Called for each sound ENQUEUE; answers it once, in this call or later.
+    /// Called for each valid ENQUEUE. It calls the reply function once, during this call or later.
     using Enqueue = std::function<void(Message, cometspoke::Time left, Reply)>;
 
-    /// Called whenever the last connection has gone.
+    /// Called whenever the last connection has been closed.
     using Emptied = std::function<void()>;
 
     ClientServer(asio::io_context& io, const Config& config, const PersistentClock& clock,
-        std::size_t most_connections, Enqueue enqueue, Emptied emptied);
+        std::size_t max_connections, Enqueue enqueue, Emptied emptied);
     ~ClientServer();
 
-    /// Takes the listening socket that is inherited, or binds one. Throws where neither can be had.
+    /// Uses the inherited listening socket, or binds one. Throws if neither is possible.
     void open();
     void listen();
-    /// Accepts nothing for now; those who connect wait in the listener's queue.
+    /// Stops accepting until resume(). New connections wait in the queue of the listener.
     void pause();
     void resume();
-    /// Another process takes the clients: those here are served and closed between requests. A listener that
-    /// was bound here is closed, so that the other can bind it.
+    /// Lets another process take over the clients: the connections of this process are served and closed
+    /// between requests. A listener that this process has bound is closed, so that the other process can bind
+    /// it.
     void hand_over_clients();
-    /// This process's copy of the listener, where the platform holds it.
+    /// Closes this process's descriptor of the listener, for use when the platform holds the listener too.
     void close_listener();
-    /// So many connections that count here are held by another process.
-    void set_reserved_connections(std::size_t elsewhere) { elsewhere_ = elsewhere; }
-    std::size_t connection_count() const { return count_; }
-    /// The front's question is answered no, so that it sends its clients elsewhere.
-    void set_unready(bool no) { saying_no_ = no; }
-    /// Connections close between requests; new ones are served alike.
-    void set_closing_between_requests(bool off);
-    /// No new connections; those there are close between requests.
+    /// Sets how many connections another process holds. They count towards the limit of this process.
+    void set_reserved_connections(std::size_t count) { reserved_connections_ = count; }
+    std::size_t connection_count() const { return connection_count_; }
+    /// While unready, the health check of the load balancer gets an error, so that it sends its clients to
+    /// other instances.
+    void set_unready(bool unready) { unready_ = unready; }
+    /// While set, connections are closed between requests. New connections are served in the same way.
+    void set_closing_between_requests(bool closing);
+    /// Accepts no further connections and closes the existing ones between requests.
     void drain();
     bool listening() const { return acceptor_.is_open() && !paused_; }
-    /// No connection is left, and none waits to be accepted.
-    bool empty() const { return count_ == 0 && !(draining_ && acceptor_.is_open()); }
+    /// Whether no connection is open and none waits to be accepted.
+    bool empty() const { return connection_count_ == 0 && !(draining_ && acceptor_.is_open()); }
 
 private:
     friend class ClientSession;
     using Clock = std::chrono::steady_clock;
-    /// In the order in which they came to their present state.
+    /// The sessions of one state, in the order in which they entered it.
     using Sessions = std::list<std::shared_ptr<ClientSession>>;
     enum State {
-        Silent,   ///< connected, and nothing has come
-        Idle,     ///< between requests
-        Partly,   ///< a command has begun and not ended
-        Asked,    ///< a command waits for its answer
-        Writing,  ///< an answer is on its way
-        Leaving,  ///< it has its last answer
-        States
+        NoCommandYet,    ///< connected, and has not begun a command
+        Idle,            ///< between requests
+        PartialCommand,  ///< has received the beginning of a command, but not its end
+        AwaitingReply,   ///< has a command that is not yet replied to
+        WritingReply,    ///< a reply is being written
+        Closing,         ///< its last reply is written, and sending is shut down
+        StateCount
     };
 
     void accept();
     SocketResult accept_one();
-    void serve(const std::shared_ptr<Descriptor>& connection);
-    /// Takes all that wait in the queue; false where some may be left that cannot be accepted just now.
+    void start_session(const std::shared_ptr<Descriptor>& connection);
     bool accept_waiting();
     void close_listener_when_empty();
-    bool make_room();
-    std::size_t most() const;
-    void close_resting(State state);
-    bool close_first(State state, Clock::duration rest);
-    void sweep();
-    void bound_buffers();
-    void handle(const resp::Command& command, const Reply& answer);
+    bool ensure_capacity();
+    std::size_t connection_limit() const;
+    void close_inactive(State state);
+    bool close_oldest(State state, Clock::duration min_age);
+    void close_expired();
+    void limit_buffered_bytes();
+    void handle(const resp::Command& command, const Reply& reply);
 
     asio::io_context& io_;
     const Config& config_;
-    const PersistentClock& clock_;  // of deadlines
-    std::size_t most_, elsewhere_ = 0;
+    const PersistentClock& clock_;  // the clock of message deadlines
+    std::size_t max_connections_, reserved_connections_ = 0;
     Enqueue enqueue_;
     Emptied emptied_;
     Tcp::acceptor acceptor_;
-    asio::steady_timer pause_, sweep_;
-    int accept_errors_ = 0;  // in a row
+    asio::steady_timer accept_retry_timer_, expiry_timer_;
+    int consecutive_accept_errors_ = 0;
     bool accepting_ = false, draining_ = false, paused_ = false;
-    bool saying_no_ = false, sending_off_ = false;
-    std::array<Sessions, States> sessions_;
-    std::size_t count_ = 0;             // of all sessions
-    std::size_t buffered_ = 0;          // bytes of commands that have not ended
-    std::array<char, 16 * 1024> in_{};  // of the connection that is read just now
+    bool unready_ = false, closing_between_requests_ = false;
+    std::array<Sessions, StateCount> sessions_;
+    std::size_t connection_count_ = 0;           // in all states
+    std::size_t buffered_bytes_ = 0;             // of incomplete commands, over all connections
+    std::array<char, 16 * 1024> read_buffer_{};  // shared by the reads of all connections
 };
 
-/// An ENQUEUE's words as a message; `left` is its `d`. Throws InvalidInput naming what is wrong.
+/// Converts an ENQUEUE command to a message and sets `left` to the time until its deadline. Throws
+/// InvalidInput with a description of the invalid part.
 Message message_of(
     const resp::Command& command, const Config& config, PersistentTime now, cometspoke::Time& left);
 
