--- a/src/net/management.cpp
+++ b/src/net/management.cpp
@@ -17,19 +17,19 @@
 
 namespace {
 
-constexpr auto kWholeCall = 5s;   // from connecting to the call's last byte: some write in small pieces
-constexpr auto kCloseAfter = 1s;  // for the answer to be taken
-constexpr auto kAcceptPause = 20ms;
-constexpr std::uint32_t kMostHeader = 4096;
-constexpr std::uint64_t kMostBody = 4096;  // no call needs one; a short one is passed over
+constexpr auto kMaxRequestTime = 5s;     // from the connect to the last byte: some callers send small pieces
+constexpr auto kMaxReplyWriteTime = 1s;  // for the caller to read the reply
+constexpr auto kAcceptRetryPause = 20ms;
+constexpr std::uint32_t kMaxHeaderBytes = 4096;
+constexpr std::uint64_t kMaxBodyBytes = 4096;  // no call needs a body; a short one is ignored
 
-struct Known {
+struct CallPattern {
     std::string_view path;
     http::verb method;
-    OperatorCommand order;
+    OperatorCommand command;
     bool names_endpoint;
 };
-constexpr Known kCalls[] = {
+constexpr CallPattern kCallPatterns[] = {
     {"/ready", http::verb::get, OperatorCommand::Ready, false},
     {"/endpoints/disable", http::verb::post, OperatorCommand::Disable, true},
     {"/endpoints/enable", http::verb::post, OperatorCommand::Enable, true},
@@ -38,35 +38,35 @@
     {"/counters", http::verb::get, OperatorCommand::Counters, false},
 };
 
-int hex_digit(char letter) {
+int hex_digit_value(char character) {
     static constexpr std::string_view digits = "0123456789abcdef0123456789ABCDEF";
-    const auto at = digits.find(letter);
-    return at == std::string_view::npos ? -1 : static_cast<int>(at % 16);
+    const auto position = digits.find(character);
+    return position == std::string_view::npos ? -1 : static_cast<int>(position % 16);
 }
-/// "%2D" as the byte that it stands for; none where an escape makes no sense.
-std::optional<std::string> unescaped(std::string_view text) {
-    std::string plain;
+/// Decodes escapes such as "%2D". Returns nothing if an escape is invalid.
+std::optional<std::string> percent_decode(std::string_view text) {
+    std::string decoded;
     for (std::size_t i = 0; i < text.size(); ++i) {
         if (text[i] != '%') {
-            plain += text[i];
+            decoded += text[i];
             continue;
         }
         if (i + 2 >= text.size()) return std::nullopt;
-        const int high = hex_digit(text[i + 1]), low = hex_digit(text[i + 2]);
+        const int high = hex_digit_value(text[i + 1]), low = hex_digit_value(text[i + 2]);
         if (high < 0 || low < 0) return std::nullopt;
-        plain += static_cast<char>(high * 16 + low);
+        decoded += static_cast<char>(high * 16 + low);
         i += 2;
     }
-    return plain;
+    return decoded;
 }
-/// The value of `name` in a query; none where it is missing, empty or cannot be read.
-std::optional<std::string> value_of(std::string_view query, std::string_view name) {
+/// Returns the value of `name` in a query, or nothing if it is missing, empty or has an invalid escape.
+std::optional<std::string> query_value(std::string_view query, std::string_view name) {
     while (!query.empty()) {
         const std::string_view pair = query.substr(0, query.find('&'));
         query.remove_prefix(std::min(pair.size() + 1, query.size()));
-        const auto equals = pair.find('=');
-        if (equals == std::string_view::npos || pair.substr(0, equals) != name) continue;
-        const auto value = unescaped(pair.substr(equals + 1));
+        const auto separator = pair.find('=');
+        if (separator == std::string_view::npos || pair.substr(0, separator) != name) continue;
+        const auto value = percent_decode(pair.substr(separator + 1));
         return value && !value->empty() ? value : std::nullopt;
     }
     return std::nullopt;
@@ -75,24 +75,25 @@
 }  // namespace
 
 OperatorReply parse_operator_call(http::verb method, std::string_view target, OperatorCall& call) {
-    const std::size_t mark = std::min(target.find('?'), target.size());
-    const std::string_view path = target.substr(0, mark);
-    const auto known = std::find_if(
-        std::begin(kCalls), std::end(kCalls), [path](const Known& one) { return one.path == path; });
-    if (known == std::end(kCalls)) return {http::status::not_found, "no such call"};
-    if (known->method != method) return {http::status::method_not_allowed, "not by this method"};
-    call.command = known->order;
-    if (!known->names_endpoint) return {};
-    const auto who = value_of(target.substr(std::min(mark + 1, target.size())), "who");
-    if (!who) return {http::status::bad_request, "who is missing"};
-    call.endpoint = *who;
+    const std::size_t query_start = std::min(target.find('?'), target.size());
+    const std::string_view path = target.substr(0, query_start);
+    const auto pattern = std::find_if(std::begin(kCallPatterns), std::end(kCallPatterns),
+        [path](const CallPattern& candidate) { return candidate.path == path; });
+    if (pattern == std::end(kCallPatterns)) return {http::status::not_found, "no such call"};
+    if (pattern->method != method) return {http::status::method_not_allowed, "not by this method"};
+    call.command = pattern->command;
+    if (!pattern->names_endpoint) return {};
+    const auto endpoint = query_value(target.substr(std::min(query_start + 1, target.size())), "who");
+    if (!endpoint) return {http::status::bad_request, "who is missing"};
+    call.endpoint = *endpoint;
     return {};
 }
 
-/// One connection: one call, its answer, and a close.
+/// One connection. It reads one call, writes its reply, and closes.
 class ManagementSession : public std::enable_shared_from_this<ManagementSession> {
+    /// Wraps a completion handler: it does nothing after close(), and passes errors to fail().
     template <class Next>
-    auto guarded(Next next) {
+    auto if_open(Next next) {
         return [self = shared_from_this(), next](auto failed, auto&&...) {
             if (self->closed_) return;
             failed ? self->fail(failed) : next(*self);
@@ -102,78 +103,79 @@
 public:
     ManagementSession(Tcp::socket socket, Management& owner) : stream_(std::move(socket)), owner_(owner) {}
 
-    void start(Management::Sessions::iterator place) {
-        place_ = place;
-        parser_.header_limit(kMostHeader);
-        parser_.body_limit(kMostBody);
-        stream_.expires_after(kWholeCall);
-        http::async_read(stream_, buffer_, parser_, guarded([](ManagementSession& self) { self.handle(); }));
+    void start(Management::Sessions::iterator position) {
+        position_ = position;
+        parser_.header_limit(kMaxHeaderBytes);
+        parser_.body_limit(kMaxBodyBytes);
+        stream_.expires_after(kMaxRequestTime);
+        http::async_read(stream_, buffer_, parser_, if_open([](ManagementSession& self) { self.handle(); }));
     }
-    /// A whole call waits for its answer or has it.
-    bool asked() const { return asked_; }
+    /// Whether a complete request was received or rejected. It waits for its reply or has it.
+    bool has_request() const { return has_request_; }
     void close() {
         if (std::exchange(closed_, true)) return;
         const auto self = shared_from_this();
-        owner_.sessions_.erase(place_);
+        owner_.sessions_.erase(position_);
         stream_.close();
     }
 
 private:
     void handle() {
-        asked_ = true;
+        has_request_ = true;
         stream_.expires_never();
         OperatorCall call;
         const auto target = parser_.get().target();
-        const OperatorReply read =
+        const OperatorReply parsed =
             parse_operator_call(parser_.get().method(), {target.data(), target.size()}, call);
-        if (read.status != http::status::ok) return answer(read);
-        owner_.handle_(call, [self = shared_from_this()](OperatorReply verdict) {
-            if (!self->closed_) self->answer(verdict);
+        if (parsed.status != http::status::ok) return send_reply(parsed);
+        owner_.handle_(call, [self = shared_from_this()](OperatorReply reply) {
+            if (!self->closed_) self->send_reply(reply);
         });
     }
     void fail(beast::error_code failed) {
-        const bool unreadable =
-            failed.category() == http::make_error_code(http::error::bad_method).category();
-        if (asked_ || !unreadable || failed == http::error::end_of_stream) return close();
-        answer({http::status::bad_request, "not a call"});
+        const bool malformed = failed.category() == http::make_error_code(http::error::bad_method).category();
+        if (has_request_ || !malformed || failed == http::error::end_of_stream) return close();
+        send_reply({http::status::bad_request, "not a call"});
     }
-    void answer(const OperatorReply& verdict) {
-        asked_ = true;
-        answer_ = {verdict.status, 11, verdict.text + "\n"};
-        answer_.set(http::field::content_type, "text/plain");
-        answer_.keep_alive(false);
-        answer_.prepare_payload();
-        stream_.expires_after(kCloseAfter);
-        bytes_ = serialize_http(answer_);
+    void send_reply(const OperatorReply& reply) {
+        has_request_ = true;
+        response_ = {reply.status, 11, reply.text + "\n"};
+        response_.set(http::field::content_type, "text/plain");
+        response_.keep_alive(false);
+        response_.prepare_payload();
+        stream_.expires_after(kMaxReplyWriteTime);
+        response_bytes_ = serialize_http(response_);
         beast::error_code ignored;
         stream_.socket().non_blocking(true, ignored);
-        write_all(stream_.socket(), bytes_, guarded([](ManagementSession& self) { self.finish(); }));
+        write_all(stream_.socket(), response_bytes_,
+            if_open([](ManagementSession& self) { self.shut_down_sending(); }));
     }
-    /// Closing with bytes unread would reset the connection and might take the answer with it.
-    void finish() {
+    /// Shuts down sending only. Closing the socket with data unread would reset the connection, and the
+    /// caller might lose the reply.
+    void shut_down_sending() {
         beast::error_code ignored;
         stream_.socket().shutdown(Tcp::socket::shutdown_send, ignored);
-        rest_.resize(1024);
+        discard_buffer_.resize(1024);
         discard();
     }
     void discard() {
         stream_.async_read_some(
-            asio::buffer(rest_), guarded([](ManagementSession& self) { self.discard(); }));
+            asio::buffer(discard_buffer_), if_open([](ManagementSession& self) { self.discard(); }));
     }
 
     beast::tcp_stream stream_;
     Management& owner_;
-    Management::Sessions::iterator place_;
+    Management::Sessions::iterator position_;
     beast::flat_buffer buffer_;
     http::request_parser<http::string_body> parser_;
-    http::response<http::string_body> answer_;
-    std::string bytes_;  // of the answer, while they are written
-    std::string rest_;
-    bool asked_ = false, closed_ = false;
+    http::response<http::string_body> response_;
+    std::string response_bytes_;  // the serialized response while it is written
+    std::string discard_buffer_;
+    bool has_request_ = false, closed_ = false;
 };
 
 Management::Management(asio::io_context& io, Handle handle)
-    : handle_(std::move(handle)), acceptor_(io), pause_(io) {}
+    : handle_(std::move(handle)), acceptor_(io), accept_retry_timer_(io) {}
 Management::~Management() = default;
 
 void Management::listen(const Tcp::endpoint& address) {
@@ -188,17 +190,18 @@
 void Management::accept() {
     acceptor_.async_accept([this](auto failed, Tcp::socket socket) {
         if (failed == asio::error::operation_aborted) return;
-        if (failed) {  // such as one for want of descriptors
-            pause_.expires_after(kAcceptPause);
-            return pause_.async_wait([this](auto cancelled) {
+        if (failed) {  // for example for lack of descriptors
+            accept_retry_timer_.expires_after(kAcceptRetryPause);
+            return accept_retry_timer_.async_wait([this](auto cancelled) {
                 if (!cancelled) accept();
             });
         }
-        if (sessions_.size() >= kMostConnections) {
-            // the longest so of those that have not asked; at worst one whose answer nobody takes
-            const auto dawdler = std::find_if(
-                sessions_.begin(), sessions_.end(), [](const auto& session) { return !session->asked(); });
-            std::shared_ptr(dawdler != sessions_.end() ? *dawdler : sessions_.front())->close();
+        if (sessions_.size() >= kMaxConnections) {
+            // Closes the oldest connection without a complete request. If there is none, the oldest of all is
+            // closed, whose caller may not read its reply.
+            const auto idle = std::find_if(sessions_.begin(), sessions_.end(),
+                [](const auto& session) { return !session->has_request(); });
+            std::shared_ptr(idle != sessions_.end() ? *idle : sessions_.front())->close();
         }
         const auto session = std::make_shared<ManagementSession>(std::move(socket), *this);
         session->start(sessions_.insert(sessions_.end(), session));
--- a/src/net/management.hpp
+++ b/src/net/management.hpp
@@ -1,7 +1,7 @@
-/// The operators' calls: HTTP/1.1, one call a connection. It parses and answers; what a call does is decided
-/// elsewhere.
+/// The HTTP/1.1 server for operator calls, with one call per connection. It parses calls and writes replies;
+/// the owner carries them out.
 ///
-/// Operators call when things go badly: whoever dawdles must not keep out the next.
+/// Operators call when a system is in trouble, so a slow caller must not keep out the next one.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -17,18 +17,19 @@
 
 enum class OperatorCommand { Ready, Disable, Enable, Drain, Undrain, Counters };
 
-/// A call that is known; `who` is the endpoint of Disable and Enable.
+/// A valid call. `endpoint` is set for Disable and Enable only, from the query parameter `who`.
 struct OperatorCall {
     OperatorCommand command = OperatorCommand::Ready;
     std::string endpoint;
 };
-/// Yes or no, and why in one line.
+/// The HTTP status of a reply, and its body in one line.
 struct OperatorReply {
     boost::beast::http::status status = boost::beast::http::status::ok;
     std::string text;
 };
 
-/// The call that a request line asks for, or the no that it is owed.
+/// Parses the method and target of a request line. On success it fills in `call` and returns status 200;
+/// otherwise it returns the reply that rejects the request.
 OperatorReply parse_operator_call(
     boost::beast::http::verb method, std::string_view target, OperatorCall& call);
 
@@ -37,12 +38,13 @@
 class Management {
 public:
     using Reply = std::function<void(OperatorReply)>;
-    /// Called for each known call; answers it once, in this call or later.
+    /// Called for each valid call. It calls the reply function once, during this call or later.
     using Handle = std::function<void(const OperatorCall&, Reply)>;
 
-    /// Its own connections, whatever clients do, and the listener.
-    static constexpr std::size_t kMostConnections = 16;
-    static constexpr std::size_t kDescriptors = kMostConnections + 1;
+    /// These connections are independent of the limit on client connections.
+    static constexpr std::size_t kMaxConnections = 16;
+    /// The descriptors of the connections and the listener.
+    static constexpr std::size_t kDescriptors = kMaxConnections + 1;
 
     Management(asio::io_context& io, Handle handle);
     ~Management();
@@ -57,7 +59,7 @@
 
     Handle handle_;
     Tcp::acceptor acceptor_;
-    asio::steady_timer pause_;
+    asio::steady_timer accept_retry_timer_;
     Sessions sessions_;  // in the order in which they connected
 };
 
--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -67,7 +67,7 @@
 TEST_F(ManagementTest, CallersThatDawdleKeepNobodyOut) {
     node.start_ready();
     std::list<Client> dawdlers;
-    for (std::size_t i = 0; i < 3 * Management::kMostConnections; ++i) {
+    for (std::size_t i = 0; i < 3 * Management::kMaxConnections; ++i) {
         dawdlers.emplace_back(management);
         if (i % 2 == 0) dawdlers.back().send("GET /ready HTT");
     }
