--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -206,7 +206,7 @@
             return owner_.handle(*command,
                 [self = shared_from_this()](std::string text) { self->send_reply(std::move(text)); });
         }
-        if (parser_.midway()) {
+        if (parser_.has_partial_command()) {
             if (state_ != State::PartialCommand) set_state(State::PartialCommand);
             owner_.limit_buffered_bytes();
             if (closing_) return;
@@ -219,13 +219,13 @@
             if (closed_) return;
         }
         wait_for_data();
-    } catch (const resp::Unreadable& bad) {
-        reject(bad.what());
+    } catch (const resp::ProtocolError& error) {
+        reject(error.what());
     }
 
     void count_buffered() {
-        owner_.buffered_bytes_ += parser_.held() - buffered_bytes_;
-        buffered_bytes_ = parser_.held();
+        owner_.buffered_bytes_ += parser_.pending_bytes() - buffered_bytes_;
+        buffered_bytes_ = parser_.pending_bytes();
     }
 
     void send_reply(std::string text) {
@@ -491,8 +491,8 @@
     Message message;
     try {
         message = message_of(command, config_, clock_.now(), left);
-    } catch (const InvalidInput& bad) {
-        std::string text = std::string("ERR ") + bad.what();
+    } catch (const InvalidInput& error) {
+        std::string text = std::string("ERR ") + error.what();
         for (char& character : text)  // The text may contain bytes that the client sent.
             if (character < ' ' || character > '~') character = '?';
         return reply(resp::error(text));
--- a/src/net/resp.cpp
+++ b/src/net/resp.cpp
@@ -7,72 +7,76 @@
 namespace lockgw::resp {
 namespace {
 
-constexpr std::size_t kLongestHeader = 24;
+constexpr std::size_t kMaxLengthLineBytes = 24;
 
 }  // namespace
 
 std::optional<Command> Parser::next() {
     while (true) {
-        if (missing_ == 0) {
-            const auto count = header('*', kMostArguments);
-            if (!count) return drop_read(), std::nullopt;
-            missing_ = *count;  // an empty array asks for nothing
+        if (missing_arguments_ == 0) {
+            const auto count = read_length('*', kMaxArguments);
+            if (!count) return discard_parsed(), std::nullopt;
+            missing_arguments_ = *count;  // an empty array is not a command
             continue;
         }
-        if (!argument()) return drop_read(), std::nullopt;
-        if (--missing_ > 0) continue;
+        if (!read_argument()) return discard_parsed(), std::nullopt;
+        if (--missing_arguments_ > 0) continue;
         command_bytes_ = 0;
         return std::exchange(command_, {});
     }
 }
 
-/// A line such as "*3" or "$5".
-std::optional<std::size_t> Parser::header(char mark, std::size_t most) {
-    if (at_ == buffer_.size()) return std::nullopt;
-    if (buffer_[at_] != mark) throw Unreadable(std::string("expected '") + mark + "'");
-    const auto end = buffer_.find("\r\n", at_);
+/// Reads a line such as "*3" or "$5" that begins with `type`. Returns nothing if its end has not arrived yet.
+std::optional<std::size_t> Parser::read_length(char type, std::size_t max_value) {
+    if (parsed_bytes_ == buffer_.size()) return std::nullopt;
+    if (buffer_[parsed_bytes_] != type) throw ProtocolError(std::string("expected '") + type + "'");
+    const auto end = buffer_.find("\r\n", parsed_bytes_);
     if (end == std::string::npos) {
-        if (buffer_.size() - at_ > kLongestHeader) throw Unreadable("a length without an end");
+        if (buffer_.size() - parsed_bytes_ > kMaxLengthLineBytes)
+            throw ProtocolError("a length without an end");
         return std::nullopt;
     }
     std::size_t value = 0;
     const char* last = buffer_.data() + end;
-    const auto parsed = std::from_chars(buffer_.data() + at_ + 1, last, value);
-    if (parsed.ec != std::errc() || parsed.ptr != last) throw Unreadable("invalid length");
-    if (value > most) throw Unreadable("too long");
-    at_ = end + 2;
+    const auto parsed = std::from_chars(buffer_.data() + parsed_bytes_ + 1, last, value);
+    if (parsed.ec != std::errc() || parsed.ptr != last) throw ProtocolError("invalid length");
+    if (value > max_value) throw ProtocolError("too long");
+    parsed_bytes_ = end + 2;
     return value;
 }
 
-bool Parser::argument() {
-    if (!length_) length_ = header('$', std::min(kMostBytes, kMostCommand - command_bytes_));
-    if (!length_ || buffer_.size() - at_ < *length_ + 2) return false;
-    if (buffer_.compare(at_ + *length_, 2, "\r\n") != 0) throw Unreadable("an argument without an end");
-    command_.push_back(buffer_.substr(at_, *length_));
-    at_ += *length_ + 2;
-    command_bytes_ += *length_;
-    length_.reset();
+bool Parser::read_argument() {
+    if (!argument_length_)
+        argument_length_ = read_length('$', std::min(kMaxArgumentBytes, kMaxCommandBytes - command_bytes_));
+    if (!argument_length_ || buffer_.size() - parsed_bytes_ < *argument_length_ + 2) return false;
+    if (buffer_.compare(parsed_bytes_ + *argument_length_, 2, "\r\n") != 0)
+        throw ProtocolError("an argument without an end");
+    command_.push_back(buffer_.substr(parsed_bytes_, *argument_length_));
+    parsed_bytes_ += *argument_length_ + 2;
+    command_bytes_ += *argument_length_;
+    argument_length_.reset();
     return true;
 }
 
-void Parser::drop_read() {
-    buffer_.erase(0, std::exchange(at_, 0));
-    if (buffer_.empty()) std::string().swap(buffer_);  // most connections rest between commands
+void Parser::discard_parsed() {
+    buffer_.erase(0, std::exchange(parsed_bytes_, 0));
+    if (buffer_.empty())
+        std::string().swap(buffer_);  // frees the memory: most connections are idle between commands
 }
 
 namespace {
 
-std::string line(char mark, std::string_view text) {
-    std::string bytes(1, mark);
+std::string reply_line(char type, std::string_view text) {
+    std::string bytes(1, type);
     return bytes.append(text).append("\r\n");
 }
 
 }  // namespace
 
-std::string simple(std::string_view text) { return line('+', text); }
-std::string error(std::string_view text) { return line('-', text); }
+std::string simple(std::string_view text) { return reply_line('+', text); }
+std::string error(std::string_view text) { return reply_line('-', text); }
 std::string bulk(std::string_view text) {
-    return line('$', std::to_string(text.size())).append(text).append("\r\n");
+    return reply_line('$', std::to_string(text.size())).append(text).append("\r\n");
 }
 
 }  // namespace lockgw::resp
--- a/src/net/resp.hpp
+++ b/src/net/resp.hpp
@@ -1,4 +1,4 @@
-/// RESP2 requests: bytes in, commands out. Pure: no sockets, no clock.
+/// A parser for RESP2 requests and functions that write RESP2 replies. It uses neither sockets nor a clock.
 #pragma once
 
 #include <cstddef>
@@ -10,42 +10,44 @@
 
 namespace lockgw::resp {
 
-constexpr std::size_t kMostArguments = 16;
-constexpr std::size_t kMostBytes = 64 * 1024;            ///< of one argument: a body holds no more
-constexpr std::size_t kMostCommand = kMostBytes + 4096;  ///< of all its arguments
+constexpr std::size_t kMaxArguments = 16;
+constexpr std::size_t kMaxArgumentBytes = 64 * 1024;  ///< of one argument, such as a message body
+constexpr std::size_t kMaxCommandBytes = kMaxArgumentBytes + 4096;  ///< of all arguments of one command
 
 using Command = std::vector<std::string>;
 
-/// The bytes are no RESP2 request; nothing after them can be read.
-class Unreadable : public std::runtime_error {
+/// The input is not a valid RESP2 request, and the input after it cannot be parsed either.
+class ProtocolError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// Feed what comes in, then take commands until there is none. It holds at most what was fed and one command.
+/// Parses a stream of commands: call feed() with the received bytes, then next() until it returns nothing.
+/// The parser holds at most the bytes that were fed and one command.
 class Parser {
 public:
     void feed(std::string_view bytes) { buffer_.append(bytes); }
-    /// The next whole command; none where bytes are still missing. Throws Unreadable.
+    /// Returns the next complete command, or nothing if more bytes are needed. Throws ProtocolError.
     std::optional<Command> next();
-    /// Whether a command has begun and not ended.
-    bool midway() const { return missing_ > 0 || at_ < buffer_.size(); }
-    /// Bytes that wait for the rest of their command.
-    std::size_t held() const { return buffer_.size() + command_bytes_; }
+    /// Whether the beginning of a command was received, but not its end.
+    bool has_partial_command() const { return missing_arguments_ > 0 || parsed_bytes_ < buffer_.size(); }
+    /// The number of bytes that are held until the rest of their command arrives.
+    std::size_t pending_bytes() const { return buffer_.size() + command_bytes_; }
 
 private:
-    std::optional<std::size_t> header(char mark, std::size_t most);
-    bool argument();
-    void drop_read();
+    std::optional<std::size_t> read_length(char type, std::size_t max_value);
+    bool read_argument();
+    void discard_parsed();
 
     std::string buffer_;
-    std::size_t at_ = 0;                 // what is read of the buffer
-    std::size_t missing_ = 0;            // arguments still to come
-    std::optional<std::size_t> length_;  // of the argument that has begun
+    std::size_t parsed_bytes_ = 0;                // of the buffer
+    std::size_t missing_arguments_ = 0;           // of the current command
+    std::optional<std::size_t> argument_length_;  // set once the length line of an argument was read
     Command command_;
-    std::size_t command_bytes_ = 0;  // of its arguments so far
+    std::size_t command_bytes_ = 0;  // in the arguments of command_
 };
 
+/// These functions format a simple string, an error and a bulk string.
 std::string simple(std::string_view text);
 std::string error(std::string_view text);
 std::string bulk(std::string_view text);
