--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -1,4 +1,4 @@
-// The operators' calls: readiness, endpoints out by hand, drain and undrain.
+// Tests of the operator calls: readiness, disabling of endpoints, drain and undrain.
 #include "net/management.hpp"
 
 #include "node_fixture.hpp"
@@ -8,11 +8,11 @@
 
 using http::status;
 
-TEST(ManagementCall, IsReadFromItsRequestLine) {
+TEST(ManagementCall, IsParsedFromTheRequestLine) {
     const auto read = [](http::verb method, const char* target) {
         OperatorCall call;
-        const OperatorReply verdict = parse_operator_call(method, target, call);
-        return std::pair(verdict.status, call.endpoint);
+        const OperatorReply reply = parse_operator_call(method, target, call);
+        return std::pair(reply.status, call.endpoint);
     };
     EXPECT_EQ(read(http::verb::get, "/ready").first, status::ok);
     EXPECT_EQ(read(http::verb::post, "/ready").first, status::method_not_allowed);
@@ -34,12 +34,12 @@
 
     int call(const std::string& method, const std::string& path) { return operate(management, method, path); }
     int post(const std::string& path) { return call("POST", path); }
-    void list_two(int revision, HttpStub& other) {
+    void announce_two_endpoints(int revision, HttpStub& other) {
         tell(agent_request("/v1/servers"),
             list(revision, true, {member("s-1", target.address(), 7), member("s-2", other.address(), 7)}));
         watch = agent_request("/v1/servers?from=" + std::to_string(revision));
     }
-    bool goes_to(HttpStub& expected, const std::string& one) {
+    bool is_delivered_to(HttpStub& expected, const std::string& one) {
         Client client = node.client();
         if (enqueue(client, one) != "+OK") return false;
         const Exchange exchange = expected.next();
@@ -51,63 +51,63 @@
     std::optional<Exchange> watch;
 };
 
-TEST_F(ManagementTest, AnswersKnownCallsAndSaysNoToOthers) {
+TEST_F(ManagementTest, RepliesToValidCallsAndRejectsOthers) {
     node.start_ready();
     EXPECT_EQ(call("GET", "/ready"), 200);
     EXPECT_EQ(call("GET", "/metrics"), 404);
     EXPECT_EQ(call("POST", "/ready"), 405);
     EXPECT_EQ(post("/endpoints/disable?who=s-nowhere"), 404);
     EXPECT_EQ(post("/endpoints/enable?who=s-nowhere"), 404);
-    Client rude(management);
-    rude.send("what is this\r\n\r\n");
-    EXPECT_EQ(rude.line().substr(0, 12), "HTTP/1.1 400");
+    Client malformed(management);
+    malformed.send("what is this\r\n\r\n");
+    EXPECT_EQ(malformed.line().substr(0, 12), "HTTP/1.1 400");
 }
 
-// More callers than there is room for, none with a whole call: the next one is answered all the same.
-TEST_F(ManagementTest, CallersThatDawdleKeepNobodyOut) {
+// More callers connect than are allowed, and none sends a complete call. The next caller still gets a reply.
+TEST_F(ManagementTest, SlowCallersDoNotKeepOutOthers) {
     node.start_ready();
-    std::list<Client> dawdlers;
+    std::list<Client> slow_callers;
     for (std::size_t i = 0; i < 3 * Management::kMaxConnections; ++i) {
-        dawdlers.emplace_back(management);
-        if (i % 2 == 0) dawdlers.back().send("GET /ready HTT");
+        slow_callers.emplace_back(management);
+        if (i % 2 == 0) slow_callers.back().send("GET /ready HTT");
     }
-    const auto begun = Clock::now();
+    const auto started = Clock::now();
     EXPECT_EQ(call("GET", "/ready"), 200);
-    EXPECT_LT(Clock::now() - begun, 1s);
-    EXPECT_TRUE(dawdlers.back().ended());  // none of them stays for long
+    EXPECT_LT(Clock::now() - started, 1s);
+    EXPECT_TRUE(slow_callers.back().ended());  // the slow callers are disconnected in time
 }
 
-TEST_F(ManagementTest, ReadsACallInPieces) {
+TEST_F(ManagementTest, AcceptsACallInSmallPieces) {
     node.start_ready();
     Client slow(management);
-    for (const char letter : std::string("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")) {
-        slow.send(std::string(1, letter));
+    for (const char character : std::string("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")) {
+        slow.send(std::string(1, character));
         std::this_thread::sleep_for(20ms);
     }
     EXPECT_EQ(slow.line().substr(0, 12), "HTTP/1.1 200");
 }
 
-TEST_F(ManagementTest, ABanOutranksTheListAndOutlastsTheProcess) {
+TEST_F(ManagementTest, ADisabledEndpointStaysDisabledAcrossListsAndRestarts) {
     HttpStub other;
     node.start_ready();
-    list_two(5, other);
+    announce_two_endpoints(5, other);
     EXPECT_EQ(post("/endpoints/disable?who=s-1"), 200);
     EXPECT_EQ(post("/endpoints/disable?who=s-1"), 200);
     for (const char* one : {"00000000000000a1", "00000000000000a2", "00000000000000a3"})
-        EXPECT_TRUE(goes_to(other, one));
-    // gone and listed anew, under another number of the module
+        EXPECT_TRUE(is_delivered_to(other, one));
+    // The endpoint is removed and listed again, under another id in the decision module.
     tell(*watch, list(6, false, {member("s-1", target.address(), 7, "terminated")}));
-    std::this_thread::sleep_for(1200ms);  // the module forgets what has gone once a second
-    EXPECT_TRUE(goes_to(other, "00000000000000a4"));
-    EXPECT_EQ(post("/endpoints/enable?who=s-99"), 200);  // listed once, whatever its state
+    std::this_thread::sleep_for(1200ms);  // removed endpoints are released once a second
+    EXPECT_TRUE(is_delivered_to(other, "00000000000000a4"));
+    EXPECT_EQ(post("/endpoints/enable?who=s-99"), 200);  // it was listed before, whatever its state is
     tell(agent_request("/v1/servers?from=6"), list(7, false, {member("s-1", target.address(), 7)}));
     agent_request("/v1/servers?from=7");
-    EXPECT_TRUE(goes_to(other, "00000000000000a5"));
+    EXPECT_TRUE(is_delivered_to(other, "00000000000000a5"));
 
-    std::this_thread::sleep_for(200ms);  // the answer to a5 has come, so nothing is held
+    std::this_thread::sleep_for(200ms);  // the response to a5 arrives meanwhile, so no message is held
     node.kill();
     node.wait();
-    node.start_ready();  // its first list names s-1 alone
+    node.start_ready();  // the first list after the restart names s-1 alone
     Client client = node.client();
     ASSERT_EQ(enqueue(client, "00000000000000a6"), "+OK");
     EXPECT_TRUE(target.none_within(300ms));
@@ -115,37 +115,37 @@
     EXPECT_EQ(target.next().header("X-Call-Id"), "00000000000000a6");
 }
 
-TEST_F(ManagementTest, DrainServesWhoIsThereAndUndrainTakesItBack) {
+TEST_F(ManagementTest, DrainServesExistingConnectionsAndUndrainRevokesIt) {
     node.start_ready();
-    Client kept = node.client();
-    ASSERT_EQ(kept.ask({"PING"}), "+PONG");
+    Client existing = node.client();
+    ASSERT_EQ(existing.ask({"PING"}), "+PONG");
     EXPECT_EQ(post("/drain"), 200);
     EXPECT_EQ(post("/drain"), 200);
     EXPECT_EQ(call("GET", "/ready"), 503);
     EXPECT_EQ(node.client().ask({"PING"})[0], '-');  // the listener stays open
-    EXPECT_EQ(enqueue(kept, id), "+OK");             // and the connection is kept a little longer
-    Client half = node.client();
-    half.send("*1\r\n$4\r\nPI");
-    EXPECT_TRUE(kept.ended());
-    half.send("NG\r\n");  // begun before the end of its connection: owed an answer
-    EXPECT_EQ(half.line()[0], '-');
-    EXPECT_TRUE(half.ended());
-    EXPECT_EQ(target.next().header("X-Call-Id"), id);  // what is held is delivered
+    EXPECT_EQ(enqueue(existing, id), "+OK");         // an existing connection stays open a little longer
+    Client partial = node.client();
+    partial.send("*1\r\n$4\r\nPI");
+    EXPECT_TRUE(existing.ended());
+    partial.send("NG\r\n");  // the command was begun before the connection was closed, so it gets a reply
+    EXPECT_EQ(partial.line()[0], '-');
+    EXPECT_TRUE(partial.ended());
+    EXPECT_EQ(target.next().header("X-Call-Id"), id);  // messages that are held are still delivered
     EXPECT_EQ(post("/undrain"), 200);
     EXPECT_EQ(call("GET", "/ready"), 200);
-    Client again = node.client();
-    EXPECT_EQ(again.ask({"PING"}), "+PONG");
-    EXPECT_EQ(again.ask({"PING"}), "+PONG");
+    Client later = node.client();
+    EXPECT_EQ(later.ask({"PING"}), "+PONG");
+    EXPECT_EQ(later.ask({"PING"}), "+PONG");
 }
 
-TEST_F(ManagementTest, UndrainHalfwayKeepsTheConnections) {
+TEST_F(ManagementTest, AnEarlyUndrainKeepsTheConnections) {
     node.start_ready();
-    Client kept = node.client();
-    ASSERT_EQ(kept.ask({"PING"}), "+PONG");
+    Client existing = node.client();
+    ASSERT_EQ(existing.ask({"PING"}), "+PONG");
     EXPECT_EQ(post("/drain"), 200);
     EXPECT_EQ(post("/undrain"), 200);
-    std::this_thread::sleep_for(700ms);  // past the moment at which a drain closes them
-    EXPECT_EQ(kept.ask({"PING"}), "+PONG");
+    std::this_thread::sleep_for(700ms);  // longer than a drain takes to close connections
+    EXPECT_EQ(existing.ask({"PING"}), "+PONG");
 }
 
 }  // namespace
--- a/tests/misbehaving_client_test.cpp
+++ b/tests/misbehaving_client_test.cpp
@@ -1,10 +1,10 @@
-// Clients that send what cannot be read, too much, too little or nothing.
+// Tests with clients that send malformed input, too much, too little or nothing.
 #include "node_fixture.hpp"
 
 namespace lockgw {
 namespace {
 
-class RudeTest : public NodeTest {
+class MisbehavingClientTest : public NodeTest {
 protected:
     std::string command(const std::vector<std::string>& words) {
         std::string bytes = "*" + std::to_string(words.size()) + "\r\n";
@@ -20,8 +20,8 @@
     }
 };
 
-// An error in the framing ends the stream: nothing behind it can be read.
-TEST_F(RudeTest, AnswersAndClosesWhatCannotBeRead) {
+// After a framing error nothing that follows in the stream can be parsed, so the connection is closed.
+TEST_F(MisbehavingClientTest, RepliesToMalformedInputAndCloses) {
     node.start_ready();
     const std::string endless(100'000, 'x');
     for (const std::string& bytes : {std::string("GET / HTTP/1.1\r\n\r\n"), std::string("*1\r\n$-5\r\n"),
@@ -37,8 +37,8 @@
     expect_served(client, id);
 }
 
-// An error in the values leaves the stream readable.
-TEST_F(RudeTest, AnswersBadValuesAndReadsOn) {
+// After an invalid value the stream can still be parsed, so the connection stays open.
+TEST_F(MisbehavingClientTest, RepliesToInvalidValuesAndKeepsReading) {
     node.start_ready();
     tell(agent_request("/v1/servers"), list(2, true, {member("s-1", target.address(), 7)}));
     const Exchange watch = agent_request("/v1/servers?from=2");
@@ -56,15 +56,16 @@
     expect_served(client, id);
 }
 
-// Before discovery has told its whole list a destination may be new: no is not final then.
-TEST_F(RudeTest, IsBusyForAnUnknownDestinationUntilItHasAWholeList) {
+// Before discovery has sent its complete list, an unknown destination may still appear, so the rejection must
+// not be final.
+TEST_F(MisbehavingClientTest, IsBusyForAnUnknownDestinationUntilTheListIsComplete) {
     node.start_ready();
     Client client = node.client();
     EXPECT_EQ(enqueue(client, id, "safe", 30000, "B", 8).substr(0, 6), "-BUSY ");
 }
 
-// No message of a class may be delivered for longer than the class allows, whatever its client says.
-TEST_F(RudeTest, BelievesNoDeadlineBeyondTheClass) {
+// No message may be delivered for longer than its class allows, whatever deadline the client sends.
+TEST_F(MisbehavingClientTest, LimitsTheDeadlineToThatOfTheClass) {
     node.config()["settings"]["classes"][0]["hard_limit_ms"] = 9000;
     node.start_ready();
     Client client = node.client();
@@ -72,18 +73,18 @@
     EXPECT_LE(std::stoi(target.next().header("X-Budget-Ms")), 9000);
 }
 
-TEST_F(RudeTest, EndsHalfACommandAndASilentConnection) {
+TEST_F(MisbehavingClientTest, ClosesPartialCommandsAndSilentConnections) {
     node.start_ready();
-    Client half = node.client(), silent = node.client(), usual = node.client();
-    EXPECT_EQ(usual.ask({"PING"}), "+PONG");
-    half.send(command({"PING", "x"}).substr(0, 12));
-    EXPECT_EQ(half.line().substr(0, 5), "-ERR ");
-    EXPECT_TRUE(half.ended());
+    Client partial = node.client(), silent = node.client(), well_behaved = node.client();
+    EXPECT_EQ(well_behaved.ask({"PING"}), "+PONG");
+    partial.send(command({"PING", "x"}).substr(0, 12));
+    EXPECT_EQ(partial.line().substr(0, 5), "-ERR ");
+    EXPECT_TRUE(partial.ended());
     EXPECT_TRUE(silent.ended());
-    EXPECT_EQ(usual.ask({"PING"}), "+PONG");  // it may rest between requests while there is room
+    EXPECT_EQ(well_behaved.ask({"PING"}), "+PONG");  // idle connections stay open while few are open
 }
 
-TEST_F(RudeTest, ServesTheUsualAmongHundredsThatSayNothing) {
+TEST_F(MisbehavingClientTest, ServesAClientAmongHundredsOfSilentOnes) {
     node.start_ready();
     std::list<Client> silent;
     for (int i = 0; i < 500; ++i) silent.emplace_back(node.address());
@@ -93,94 +94,100 @@
     expect_served(client, "00000000000000aa");
 }
 
-// A connection with hundreds of commands waiting is answered in order, and others meanwhile.
-TEST_F(RudeTest, TakesHundredsOfCommandsAtOnce) {
+// A connection with hundreds of pending commands gets its replies in order, and other connections are served
+// meanwhile.
+TEST_F(MisbehavingClientTest, AcceptsHundredsOfPipelinedCommands) {
     node.start_ready();
-    Client many = node.client(), usual = node.client();
+    Client pipelining = node.client(), well_behaved = node.client();
     std::string bytes;
     for (int i = 0; i < 1000; ++i)
         bytes += command({"ENQUEUE", "0", "no id", "c=safe", "B"}) + command({"PING"});
-    many.send(bytes);
-    expect_served(usual, id);
+    pipelining.send(bytes);
+    expect_served(well_behaved, id);
     for (int i = 0; i < 1000; ++i) {
-        ASSERT_EQ(many.line().substr(0, 5), "-ERR ") << i;
-        ASSERT_EQ(many.line(), "+PONG") << i;
+        ASSERT_EQ(pipelining.line().substr(0, 5), "-ERR ") << i;
+        ASSERT_EQ(pipelining.line(), "+PONG") << i;
     }
 }
 
-// Half commands of many clients, long ones, stay within a share of the memory.
-TEST_F(RudeTest, BoundsWhatUnendedCommandsHold) {
+// Long partial commands of many clients take no more than a fixed share of the memory.
+TEST_F(MisbehavingClientTest, LimitsTheMemoryOfPartialCommands) {
     node.config()["limits"]["memory_mb"] = 4;
     node.start_ready();
-    std::list<Client> halves;
-    const std::string half = "*2\r\n$4\r\nPING\r\n$60000\r\n" + std::string(50'000, 'h');
+    std::list<Client> partial_clients;
+    const std::string partial = "*2\r\n$4\r\nPING\r\n$60000\r\n" + std::string(50'000, 'h');
     for (int i = 0; i < 60; ++i) {
-        halves.emplace_back(node.address());
-        halves.back().send(half);
+        partial_clients.emplace_back(node.address());
+        partial_clients.back().send(partial);
     }
-    EXPECT_EQ(halves.front().line(), "-ERR too much at once");
+    EXPECT_EQ(partial_clients.front().line(), "-ERR too much at once");
     Client client = node.client();
     expect_served(client, id);
 }
 
-/// All the places that 64 descriptors leave to clients are taken by some that rest, but for the one that is
-/// kept free for whoever comes.
-class FullTest : public RudeTest {
+/// Idle clients take all the connections that a limit of 64 descriptors leaves to clients, except the one
+/// that is kept free for a new client.
+class ConnectionLimitTest : public MisbehavingClientTest {
 protected:
-    FullTest() {
+    ConnectionLimitTest() {
         node.config()["limits"]["sockets"] = 64;
         node.start_ready();
-        for (int i = 0; i < kPlaces; ++i) clients.emplace_back(node.address());
+        for (int i = 0; i < kClientConnections; ++i) clients.emplace_back(node.address());
         for (Client& one : clients) EXPECT_EQ(one.ask({"PING"}), "+PONG");
     }
-    static constexpr int kPlaces = 15;
+    static constexpr int kClientConnections = 15;
     std::list<Client> clients;
 };
 
-// One that rests has asked just now: the next one that rests makes room, and not the one that has just come.
-TEST_F(FullTest, MakesRoomByOneThatRestsAndHasAskedForNothing) {
+// The oldest idle connection has just sent a request. The next idle connection must be closed, and not the
+// one that was just opened.
+TEST_F(ConnectionLimitTest, ClosesAnIdleConnectionWithoutARequestForANewOne) {
     ::kill(node.pid(), SIGSTOP);
-    Client fresh = node.client();  // first, so that the loop is told of it first
+    Client newest = node.client();  // before the request, so that the event loop handles it first
     clients.front().send(command({"PING"}));
     ::kill(node.pid(), SIGCONT);
     EXPECT_TRUE(std::next(clients.begin())->ended());
     EXPECT_EQ(clients.front().line(), "+PONG");
-    EXPECT_EQ(fresh.ask({"PING"}), "+PONG");
+    EXPECT_EQ(newest.ask({"PING"}), "+PONG");
 }
 
-// Half commands may be cut off only after a while: whoever waits in the queue meanwhile is let in then, and
-// not only once one of them has ended by itself.
-TEST_F(FullTest, LetsInWhoWaitsOnceRoomCanBeMade) {
+// Connections with a partial command may be closed only after some time. A client that waits in the
+// listener's queue must be accepted at that time, and not only once one of the connections has ended by
+// itself.
+TEST_F(ConnectionLimitTest, AcceptsAWaitingClientOnceAConnectionMayBeClosed) {
     ::kill(node.pid(), SIGSTOP);
     clients.emplace_back(node.address());
     for (Client& one : clients) one.send("*1\r\n");
     Client waiting = node.client();
     ::kill(node.pid(), SIGCONT);
-    const auto begun = Clock::now();
+    const auto started = Clock::now();
     EXPECT_EQ(waiting.ask({"PING"}), "+PONG");
-    EXPECT_LT(Clock::now() - begun, 1500ms);
+    EXPECT_LT(Clock::now() - started, 1500ms);
 }
 
-// A connection that asks for nothing, over and over, never comes to rest for the sweep.
-TEST_F(RudeTest, EndsOneThatSendsEmptyCommandsWithoutPause) {
+// Empty commands must not restart the timeout of a connection, which would otherwise never expire.
+TEST_F(MisbehavingClientTest, ClosesAClientThatSendsOnlyEmptyCommands) {
     node.start_ready();
-    Client flood = node.client();
+    Client flooding = node.client();
     std::string empty;
     for (int i = 0; i < 4000; ++i) empty += "*0\r\n";
-    const auto begun = Clock::now();
-    EXPECT_THROW(while (Clock::now() - begun < kDeadline) flood.send(empty), boost::system::system_error);
-    EXPECT_LT(Clock::now() - begun, 8s);  // 2.4 s silent, 2 s midway, and what a loaded machine adds
+    const auto started = Clock::now();
+    EXPECT_THROW(
+        while (Clock::now() - started < kDeadline) flooding.send(empty), boost::system::system_error);
+    // 2.4 s without a command, 2 s in a partial one, and a margin for a loaded machine
+    EXPECT_LT(Clock::now() - started, 8s);
 }
 
-// Memory and descriptors must not grow with the connections that have been.
-TEST_F(RudeTest, KeepsNothingOfConnectionsThatEnded) {
+// Memory and descriptors must not grow with the number of closed connections.
+TEST_F(MisbehavingClientTest, ReleasesTheResourcesOfClosedConnections) {
     node.start_ready();
     const auto descriptors = [this] {
-        const auto all = std::filesystem::directory_iterator("/proc/" + std::to_string(node.pid()) + "/fd");
-        return std::distance(begin(all), end(all));
+        const auto entries =
+            std::filesystem::directory_iterator("/proc/" + std::to_string(node.pid()) + "/fd");
+        return std::distance(begin(entries), end(entries));
     };
-    Client usual = node.client();
-    EXPECT_EQ(usual.ask({"PING"}), "+PONG");
+    Client well_behaved = node.client();
+    EXPECT_EQ(well_behaved.ask({"PING"}), "+PONG");
     const auto before = descriptors();
     for (int i = 0; i < 300; ++i) {
         Client client = node.client();
@@ -190,13 +197,14 @@
         }
     }
     const auto until = Clock::now() + kDeadline;
-    auto left =
-        descriptors();  // judged as read: discovery is connected anew now and then, here without answers
-    while (left > before && Clock::now() < until) {
+    // The loop uses the same value that is checked below, because the node opens a new connection to
+    // discovery now and then, which gets no responses here.
+    auto remaining = descriptors();
+    while (remaining > before && Clock::now() < until) {
         std::this_thread::sleep_for(10ms);
-        left = descriptors();
+        remaining = descriptors();
     }
-    EXPECT_LE(left, before);
+    EXPECT_LE(remaining, before);
 }
 
 }  // namespace
