--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -22,41 +22,43 @@
 
 namespace {
 
-// Notices are answered at once, and one that is 300 ms late is lost: on a connection that has fallen silent
-// they are not waited for, but told again on another. Longer each time: the machine may be slow.
-constexpr auto kNoticesWithin = 100ms;
-constexpr auto kRetry = 100ms;       // after a failure,
-constexpr auto kNoticeRetry = 25ms;  // after a failure: several are to fit in the 300 ms that a notice has,
-constexpr int kNoticeDoublings = 4;
-constexpr int kRetryDoublings = 2;  // twice as long after each further failure, so often
-constexpr auto kTurn = 50ms;        // of each forwarder of the fleet: discovery answers them in turn
-
-// How far those turns may reach. A change counts as told 6 s after the agent had it, and 4 s after a move;
-// calls to what drains must have ended 2 s later. The 6 s hold a watch that falls silent as it is asked, one
-// more call without an answer, and one that gets it.
-constexpr auto kToldAfter = 6000ms;
-constexpr auto kLatestFirst = 1000ms;
-constexpr auto kLatestMoved = 1000ms;
-constexpr auto kLongestPause = 1000ms;
-constexpr auto kLongestAfterSilence = 400ms;  // such a call has cost its own time already
-static_assert(CallSchedule::kHold + CallSchedule::kWithin + CallSchedule::kFirstHold +
-                  CallSchedule::kFirstWithin + 2 * kLongestAfterSilence <
-              kToldAfter);
-// Of a body that is read at once, as the protocol allows any; a longer one is a list of very many targets,
-// and is read in pieces as it arrives.
-constexpr std::size_t kMostAtOnce = 64 * 1024;
-// Of a long body in one turn: some hundred entries, about a millisecond.
-constexpr std::size_t kPiece = 16 * 1024;
-// What a long list may take longer than a short one: it may come over a thin line, and be read on a small
-// share of a core.
-constexpr std::uint64_t kLeastBytesPerMs = 256;
-// Where more targets are known than this, also a short list may mean that very many have gone.
-constexpr std::size_t kMostToldAtOnce = 2 * ListUpdate::kSlice;
-constexpr std::size_t kMostForwarders = 100'000;
-constexpr std::size_t kMostNotices = 256;  // in one request
-
-/// A body that takes memory for what has come, whatever length its header tells.
-struct ArrivedBody {
+// The agent responds to notices at once, and a notice that is 300 ms late is lost. The timeout is therefore
+// short: notices on a connection without a response are sent again on another connection. It grows with each
+// failure because the machine may be slow.
+constexpr auto kMinNoticeTimeout = 100ms;
+constexpr auto kMinRetryDelay = 100ms;
+constexpr auto kNoticeRetryDelay = 25ms;  // several attempts must fit in the 300 ms that a notice has
+constexpr int kMaxNoticeDoublings = 4;
+constexpr int kMaxRetryDoublings = 2;  // how often the delay doubles with further failures
+constexpr auto kCallInterval = 50ms;   // for each forwarder of the fleet: discovery serves them one by one
+
+// Limits on those delays. A change counts as received 6 s after the agent had it, or 4 s after a change of
+// agents, and calls to a draining endpoint must have ended 2 s later. The 6 s cover a watch that gets no
+// response, one more call without a response, and one that succeeds.
+constexpr auto kMaxChangeDelay = 6000ms;
+constexpr auto kMaxFirstCallDelay = 1000ms;
+constexpr auto kMaxMoveDelay = 1000ms;
+constexpr auto kMaxFailureDelay = 1000ms;
+constexpr auto kMaxTimeoutDelay = 400ms;  // shorter because the call has already waited for its timeout
+static_assert(CallSchedule::kWatchHold + CallSchedule::kWatchMargin + CallSchedule::kFirstWatchHold +
+                  CallSchedule::kFirstWatchMargin + 2 * kMaxTimeoutDelay <
+              kMaxChangeDelay);
+// The largest body that is read as a whole, which is the protocol's limit on ordinary bodies. A longer one is
+// a list of very many endpoints and is read in chunks as it arrives.
+constexpr std::size_t kMaxBufferedBodyBytes = 64 * 1024;
+// How much of a long body is read in one event-loop iteration: some hundred entries, about a millisecond.
+constexpr std::size_t kChunkBytes = 16 * 1024;
+// The minimum rate at which a long list extends its deadline: it may arrive over a slow link and be read on a
+// small share of a core.
+constexpr std::uint64_t kMinBytesPerMs = 256;
+// If more endpoints than this are known, even a short list may remove very many of them and is applied in
+// batches.
+constexpr std::size_t kMaxUnbatchedEndpoints = 2 * ListUpdate::kSlice;
+constexpr std::size_t kMaxForwarders = 100'000;
+constexpr std::size_t kMaxNoticesPerRequest = 256;
+
+/// A body that allocates memory only for bytes that have arrived, whatever Content-Length says.
+struct IncrementalBody {
     using value_type = std::string;
     class reader {
     public:
@@ -80,129 +82,132 @@
 
 }  // namespace
 
-/// A kept-alive connection to the agent, one request at a time; it is made anew after any failure.
+/// A keep-alive connection to the agent that carries one request at a time and is replaced after any failure.
 ///
-/// Its handlers hold it, and pass over what an earlier request left behind: it may be given up at any moment.
+/// Its handlers share ownership of it and ignore events of earlier requests, so it may be cancelled at any
+/// time.
 class DiscoveryConnection : public std::enable_shared_from_this<DiscoveryConnection> {
     template <class Next>
-    auto guarded(Next next) {
-        return [self = shared_from_this(), stream = stream_, turn = turn_, next](auto failed, auto&&...) {
-            if (turn != self->turn_) return;
-            failed ? self->failed(failed) : next(*self);
+    auto if_current(Next next) {
+        return [self = shared_from_this(), stream = stream_, request_number = request_number_, next](
+                   auto error, auto&&...) {
+            if (request_number != self->request_number_) return;
+            error ? self->on_error(error) : next(*self);
         };
     }
 
 public:
-    /// The answer's status and body; status 0 where there was no answer.
-    using Answered = std::function<void(unsigned, std::string)>;
-    /// What has come of a long body of an answer 200, which is then not in what Answered gets. Where it
-    /// throws, the answer is over: status 0, and what was thrown as its body.
-    using Piece = std::function<void(std::string_view)>;
+    /// Receives the status and body of the response, or status 0 and an error text if there was none.
+    using OnResponse = std::function<void(unsigned, std::string)>;
+    /// Receives each chunk of a long body of a response with status 200. OnResponse does not get these bytes.
+    /// If the callback throws, the request fails: OnResponse gets status 0 and the exception's text.
+    using OnChunk = std::function<void(std::string_view)>;
 
     DiscoveryConnection(asio::io_context& io, const Tcp::endpoint& address)
         : io_(io), address_(address), stream_(std::make_shared<beast::tcp_stream>(io)) {}
 
-    /// Without `piece` an answer's body may not be long.
-    void ask(http::verb verb, const std::string& path, std::string body, std::chrono::milliseconds within,
-        Answered answered, Piece piece = nullptr) {
-        ++turn_;
-        answered_ = std::move(answered);
-        piece_ = std::move(piece);
+    /// Without `on_chunk` a long response body is an error.
+    void send(http::verb verb, const std::string& path, std::string body, std::chrono::milliseconds timeout,
+        OnResponse on_response, OnChunk on_chunk = nullptr) {
+        ++request_number_;
+        on_response_ = std::move(on_response);
+        on_chunk_ = std::move(on_chunk);
         request_ = {verb, path, 11, std::move(body)};
         request_.set(http::field::host, "discovery");
         request_.prepare_payload();
-        until_ = std::chrono::steady_clock::now() + within;
+        deadline_ = std::chrono::steady_clock::now() + timeout;
         begin();
     }
 
-    /// Nothing is told any more.
-    void give_up() {
-        ++turn_;
-        answered_ = nullptr;
+    /// Ends the request in progress without calling its callbacks.
+    void cancel() {
+        ++request_number_;
+        on_response_ = nullptr;
         stream_->close();
     }
 
 private:
     void begin() {
-        stream_->expires_at(until_);
-        answer_begun_ = false;
-        reused_ = stream_->socket().is_open();
-        if (reused_) return write();
-        stream_->async_connect(address_, guarded([](DiscoveryConnection& self) { self.write(); }));
+        stream_->expires_at(deadline_);
+        response_started_ = false;
+        reused_connection_ = stream_->socket().is_open();
+        if (reused_connection_) return write();
+        stream_->async_connect(address_, if_current([](DiscoveryConnection& self) { self.write(); }));
     }
-    /// All requests may be repeated. What this machine lacked for a moment is tried again within the same
-    /// time, and so are notices on a connection that had rested and was ended meanwhile. A call for the list
-    /// is not: an agent that ends many at once must not get all of them again at once.
-    void failed(const boost::system::error_code& error) {
+    /// All requests may be repeated. After a local shortage of resources the request is tried again until its
+    /// deadline, and so are notices on an idle connection that the agent had closed. A request for the list
+    /// is not repeated: an agent that closes many connections at once must not get all of these requests
+    /// again at once.
+    void on_error(const boost::system::error_code& error) {
         const bool local = is_local_error(classify(error));
         const bool timed_out = error == beast::error::timeout;
-        const bool rested = reused_ && request_.method() == http::verb::post;
-        if (answer_begun_ || timed_out || !(local || rested)) return fail(error.message());
+        const bool idle_connection = reused_connection_ && request_.method() == http::verb::post;
+        if (response_started_ || timed_out || !(local || idle_connection)) return fail(error.message());
         counters().add(Counter::AgentRetries);
-        renew();
+        reset_connection();
         if (!local) return begin();
         const auto pause = std::make_shared<asio::steady_timer>(io_, kShortageRetryDelay);
-        if (std::chrono::steady_clock::now() + kShortageRetryDelay >= until_) return fail(error.message());
-        pause->async_wait(guarded([pause](DiscoveryConnection& self) { self.begin(); }));
+        if (std::chrono::steady_clock::now() + kShortageRetryDelay >= deadline_) return fail(error.message());
+        pause->async_wait(if_current([pause](DiscoveryConnection& self) { self.begin(); }));
     }
     void write() {
-        bytes_ = serialize_http(request_);
+        request_bytes_ = serialize_http(request_);
         boost::system::error_code ignored;
         stream_->socket().non_blocking(true, ignored);
-        // the stream's own limit holds for its own operations only
-        const auto limit = std::make_shared<asio::steady_timer>(io_, until_);
+        // The stream's own timeout applies only to operations of the stream.
+        const auto limit = std::make_shared<asio::steady_timer>(io_, deadline_);
         limit->async_wait([stream = stream_](auto cancelled) {
             if (!cancelled) stream->close();
         });
-        write_all(stream_->socket(), bytes_, [limit, next = guarded([](DiscoveryConnection& self) {
+        write_all(stream_->socket(), request_bytes_, [limit, next = if_current([](DiscoveryConnection& self) {
             self.read();
-        })](auto failed, std::size_t) {
+        })](auto error, std::size_t) {
             limit->cancel();
-            next(failed);
+            next(error);
         });
     }
     void read() {
         parser_.emplace();
         parser_->eager(true);
-        // the pieces are counted instead: this limit does not hold where the header tells a length
+        // The chunks are counted instead: this limit does not apply if the header states a length.
         parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
-        in_pieces_ = false;
+        streaming_ = false;
         read_some();
     }
     void read_some() {
         http::async_read_some(
-            *stream_, buffer_, *parser_, guarded([](DiscoveryConnection& self) { self.took_some(); }));
+            *stream_, buffer_, *parser_, if_current([](DiscoveryConnection& self) { self.on_bytes_read(); }));
     }
-    void took_some() {
-        answer_begun_ = true;
-        if (parser_->get().body().size() > kMostAtOnce && !std::exchange(in_pieces_, true))
-            buffer_.reserve(kPiece);
-        if (in_pieces_ && !took_piece()) return;
-        parser_->is_done() ? answer() : read_some();
+    void on_bytes_read() {
+        response_started_ = true;
+        if (parser_->get().body().size() > kMaxBufferedBodyBytes && !std::exchange(streaming_, true))
+            buffer_.reserve(kChunkBytes);
+        if (streaming_ && !consume_chunk()) return;
+        parser_->is_done() ? finish_response() : read_some();
     }
-    bool took_piece() try {
-        if (!piece_ || parser_->get().result() != http::status::ok)
+    bool consume_chunk() try {
+        if (!on_chunk_ || parser_->get().result() != http::status::ok)
             throw cometspoke::settings::InvalidInput("a body of more than 64 KiB");
         std::string& body = parser_->get().body();
-        const auto more_time = std::chrono::milliseconds(body.size() / kLeastBytesPerMs);
-        stream_->expires_at(until_ += more_time);
-        piece_(body);
+        const auto more_time = std::chrono::milliseconds(body.size() / kMinBytesPerMs);
+        stream_->expires_at(deadline_ += more_time);
+        on_chunk_(body);
         body.clear();
         return true;
-    } catch (const std::exception& bad) {
-        fail(bad.what());
+    } catch (const std::exception& error) {
+        fail(error.what());
         return false;
     }
-    void answer() {
+    void finish_response() {
         stream_->expires_never();
-        if (!parser_->get().keep_alive() || buffer_.size() > 0) renew();
-        std::exchange(answered_, nullptr)(parser_->get().result_int(), std::move(parser_->get().body()));
+        if (!parser_->get().keep_alive() || buffer_.size() > 0) reset_connection();
+        std::exchange(on_response_, nullptr)(parser_->get().result_int(), std::move(parser_->get().body()));
     }
     void fail(const std::string& why) {
-        renew();
-        std::exchange(answered_, nullptr)(0, why);
+        reset_connection();
+        std::exchange(on_response_, nullptr)(0, why);
     }
-    void renew() {
+    void reset_connection() {
         stream_->close();
         stream_ = std::make_shared<beast::tcp_stream>(io_);
         buffer_.clear();
@@ -211,120 +216,136 @@
     asio::io_context& io_;
     Tcp::endpoint address_;
     std::shared_ptr<beast::tcp_stream> stream_;
-    std::uint64_t turn_ = 0;  // of the request that is out
+    std::uint64_t request_number_ = 0;  // identifies the request in progress
     beast::flat_buffer buffer_;
     http::request<http::string_body> request_;
-    std::string bytes_;  // of the request, while they are written
-    std::optional<http::response_parser<ArrivedBody>> parser_;
-    std::chrono::steady_clock::time_point until_{};  // the answer is waited for
-    bool answer_begun_ = false, reused_ = false;     // on a connection that carried another request before
-    bool in_pieces_ = false;                         // its body is long
-    Answered answered_;
-    Piece piece_;
+    std::string request_bytes_;  // the serialized request while it is written
+    std::optional<http::response_parser<IncrementalBody>> parser_;
+    std::chrono::steady_clock::time_point deadline_{};  // of the response
+    bool response_started_ = false;
+    bool reused_connection_ = false;  // the connection carried another request before
+    bool streaming_ = false;          // the body is long and is passed on in chunks
+    OnResponse on_response_;
+    OnChunk on_chunk_;
 };
 
 CallSchedule::CallSchedule(std::size_t forwarders, std::uint64_t seed)
-    : random_(seed), of_all_(kTurn * static_cast<std::int64_t>(std::min(forwarders, kMostForwarders))) {}
+    : random_(seed),
+      fleet_round_(kCallInterval * static_cast<std::int64_t>(std::min(forwarders, kMaxForwarders))) {}
 
-std::chrono::milliseconds CallSchedule::first() { return any_of(std::min(of_all_, kLatestFirst)); }
-std::chrono::milliseconds CallSchedule::moved() { return any_of(std::min(of_all_, kLatestMoved)); }
-std::chrono::milliseconds CallSchedule::after_failure(int failures) {
-    return half_or_more_of(std::min(std::max(kRetry, of_all_) * doubled(failures), kLongestPause));
+std::chrono::milliseconds CallSchedule::first_call_delay() {
+    return random_up_to(std::min(fleet_round_, kMaxFirstCallDelay));
 }
-std::chrono::milliseconds CallSchedule::after_silence(int failures) {
-    return half_or_more_of(std::min(std::max(kRetry, of_all_) * doubled(failures), kLongestAfterSilence));
+std::chrono::milliseconds CallSchedule::move_delay() {
+    return random_up_to(std::min(fleet_round_, kMaxMoveDelay));
 }
-std::chrono::milliseconds CallSchedule::after_refused_notices(int failures) {
-    return half_or_more_of(kNoticeRetry * (1 << std::clamp(failures - 1, 0, kNoticeDoublings)));
+std::chrono::milliseconds CallSchedule::failure_delay(int failures) {
+    return jittered(
+        std::min(std::max(kMinRetryDelay, fleet_round_) * backoff_factor(failures), kMaxFailureDelay));
+}
+std::chrono::milliseconds CallSchedule::timeout_delay(int failures) {
+    return jittered(
+        std::min(std::max(kMinRetryDelay, fleet_round_) * backoff_factor(failures), kMaxTimeoutDelay));
+}
+std::chrono::milliseconds CallSchedule::notice_retry_delay(int failures) {
+    return jittered(kNoticeRetryDelay * (1 << std::clamp(failures - 1, 0, kMaxNoticeDoublings)));
 }
 
-std::chrono::milliseconds CallSchedule::notices_within(int failures) {
-    return std::min<std::chrono::milliseconds>(kWithin, kNoticesWithin * (1 << std::min(failures, 4)));
+std::chrono::milliseconds CallSchedule::notice_timeout(int failures) {
+    return std::min<std::chrono::milliseconds>(
+        kWatchMargin, kMinNoticeTimeout * (1 << std::min(failures, 4)));
 }
 
-int CallSchedule::doubled(int failures) { return 1 << std::clamp(failures - 1, 0, kRetryDoublings); }
-std::chrono::milliseconds CallSchedule::any_of(std::chrono::milliseconds span) {
-    return std::chrono::milliseconds(std::uniform_int_distribution<std::int64_t>(0, span.count())(random_));
+int CallSchedule::backoff_factor(int failures) {
+    return 1 << std::clamp(failures - 1, 0, kMaxRetryDoublings);
+}
+std::chrono::milliseconds CallSchedule::random_up_to(std::chrono::milliseconds duration) {
+    return std::chrono::milliseconds(
+        std::uniform_int_distribution<std::int64_t>(0, duration.count())(random_));
 }
-std::chrono::milliseconds CallSchedule::half_or_more_of(std::chrono::milliseconds span) {
-    return span / 2 + any_of(span / 2);
+std::chrono::milliseconds CallSchedule::jittered(std::chrono::milliseconds duration) {
+    return duration / 2 + random_up_to(duration / 2);
 }
 
-Discovery::Discovery(
-    asio::io_context& io, const Config& config, EndpointDirectory& directory, Told told, Confirmed confirmed)
+Discovery::Discovery(asio::io_context& io, const Config& config, EndpointDirectory& directory, OnList on_list,
+    OnNoticeConfirmed on_notice_confirmed)
     : io_(io),
       address_(config.discovery),
       directory_(directory),
       limits_(list_limits(config.memory_bytes, config.max_descriptors)),
-      told_(std::move(told)),
-      confirmed_(std::move(confirmed)),
-      turns_(config.settings.instance_count, config.seed),
-      watch_pause_(io),
-      report_pause_(io) {}
-Discovery::~Discovery() { leave(); }
-
-void Discovery::start(std::optional<std::int64_t> held) { begin(held, held ? turns_.first() : 0ms); }
-
-void Discovery::begin(std::optional<std::int64_t> held, std::chrono::milliseconds pause) {
-    revision_ = held;
-    watch_ = std::make_shared<DiscoveryConnection>(io_, address_);
-    reports_ = std::make_shared<DiscoveryConnection>(io_, address_);
-    watch_after(pause);
-    post();
+      on_list_(std::move(on_list)),
+      on_notice_confirmed_(std::move(on_notice_confirmed)),
+      schedule_(config.settings.instance_count, config.seed),
+      watch_timer_(io),
+      notice_timer_(io) {}
+Discovery::~Discovery() { cancel_requests(); }
+
+void Discovery::start(std::optional<std::int64_t> known_revision) {
+    connect(known_revision, known_revision ? schedule_.first_call_delay() : 0ms);
+}
+
+void Discovery::connect(std::optional<std::int64_t> known_revision, std::chrono::milliseconds delay) {
+    revision_ = known_revision;
+    watch_connection_ = std::make_shared<DiscoveryConnection>(io_, address_);
+    notice_connection_ = std::make_shared<DiscoveryConnection>(io_, address_);
+    schedule_watch(delay);
+    send_notices();
 }
 
-/// The new agent counts its own versions and has not seen what the old one did not confirm: the whole list is
-/// asked for, and every unconfirmed notice goes to it at once. Until it answers the last list stays in use.
-void Discovery::move_to(const Tcp::endpoint& address, bool anew) {
-    if (address == address_ && !anew) return;
-    leave();
+/// The new agent has revisions of its own and has not received the notices that the old one did not confirm:
+/// the complete list is requested from it, and it gets every unconfirmed notice at once. The last list stays
+/// in use until it responds.
+void Discovery::move_to(const Tcp::endpoint& address, bool force_reload) {
+    if (address == address_ && !force_reload) return;
+    cancel_requests();
     address_ = address;
-    posting_ = false;
-    begin(std::nullopt, turns_.moved());  // all forwarders may be told to move at once
+    sending_notices_ = false;
+    connect(std::nullopt, schedule_.move_delay());  // all forwarders may change their agent at once
 }
 
 void Discovery::suspend() {
     suspended_ = true;
-    leave();
-    refuse();  // whoever goes on asks for the whole list
+    cancel_requests();
+    discard_update();  // the process that continues requests the complete list
 }
 void Discovery::resume() {
     suspended_ = false;
-    posting_ = false;
+    sending_notices_ = false;
     start();
 }
 
-void Discovery::leave() {
-    ++stay_;
-    watch_pause_.cancel();
-    report_pause_.cancel();
-    if (watch_) watch_->give_up();
-    if (reports_) reports_->give_up();
-    if (!telling_) refuse();  // no more of it comes
+void Discovery::cancel_requests() {
+    ++agent_generation_;
+    watch_timer_.cancel();
+    notice_timer_.cancel();
+    if (watch_connection_) watch_connection_->cancel();
+    if (notice_connection_) notice_connection_->cancel();
+    if (!batched_list_) discard_update();  // the rest of a partly received list will not arrive
 }
 
-/// Changes alone are asked for wherever a whole list is known: whole ones cost discovery much, and at a start
-/// of many it has to answer them in turn. Renewed as soon as it is answered: a watch that rests for long is a
-/// new one.
+/// Requests only changes if a complete list is known: complete lists are expensive for discovery, which has
+/// to serve them one by one when many forwarders start. The next watch begins as soon as this one gets a
+/// response: an agent treats a watch after a long pause as a new one.
 void Discovery::watch() {
-    watch_waits_ = telling_.has_value();  // an answer must not cross what is still told
-    if (watch_waits_) return;
+    // A response must not interleave with batches that are still being applied.
+    watch_deferred_ = batched_list_.has_value();
+    if (watch_deferred_) return;
     std::string path = "/v1/servers";
-    const auto hold = heard_ ? CallSchedule::kHold : CallSchedule::kFirstHold;
+    const auto hold = last_watch_succeeded_ ? CallSchedule::kWatchHold : CallSchedule::kFirstWatchHold;
     if (revision_) path += "?from=" + std::to_string(*revision_) + "&hold_ms=" + std::to_string(hold.count());
-    const auto within = !revision_ ? CallSchedule::kListWithin
-                        : heard_   ? hold + CallSchedule::kWithin
-                                   : hold + CallSchedule::kFirstWithin;
-    silent_at_ = std::chrono::steady_clock::now() + within;
-    watch_->ask(
-        http::verb::get, path, "", within,
-        [this](unsigned status, const std::string& body) { answered(status, body); },
-        [this](std::string_view piece) { read_piece(piece); });
+    const auto timeout = !revision_              ? CallSchedule::kListTimeout
+                         : last_watch_succeeded_ ? hold + CallSchedule::kWatchMargin
+                                                 : hold + CallSchedule::kFirstWatchMargin;
+    response_deadline_ = std::chrono::steady_clock::now() + timeout;
+    watch_connection_->send(
+        http::verb::get, path, "", timeout,
+        [this](unsigned status, const std::string& body) { on_watch_response(status, body); },
+        [this](std::string_view chunk) { read_chunk(chunk); });
 }
 
-void Discovery::answered(unsigned status, const std::string& body) {
-    heard_ = status == 200 && (reader_ ? read_to_the_end() : watched(body));
-    if (heard_) {
+void Discovery::on_watch_response(unsigned status, const std::string& body) {
+    last_watch_succeeded_ = status == 200 && (reader_ ? finish_reading() : apply_short_list(body));
+    if (last_watch_succeeded_) {
         watch_failures_ = 0;
         return watch();
     }
@@ -333,124 +354,125 @@
                   << " entries, the last one stays: " << body << '\n';
     else if (status != 200)
         std::cerr << "discovery: no list: " << status << ' ' << body.substr(0, 80) << '\n';
-    refuse();
+    discard_update();
     ++watch_failures_;
-    const bool silent = std::chrono::steady_clock::now() >= silent_at_;
-    watch_after(silent ? turns_.after_silence(watch_failures_) : turns_.after_failure(watch_failures_));
+    const bool timed_out = std::chrono::steady_clock::now() >= response_deadline_;
+    schedule_watch(
+        timed_out ? schedule_.timeout_delay(watch_failures_) : schedule_.failure_delay(watch_failures_));
 }
 
-void Discovery::watch_after(std::chrono::milliseconds pause) {
-    watch_pause_.expires_after(pause);
-    watch_pause_.async_wait([this, stay = stay_](auto cancelled) {
-        if (!cancelled && stay == stay_) watch();
+void Discovery::schedule_watch(std::chrono::milliseconds delay) {
+    watch_timer_.expires_after(delay);
+    watch_timer_.async_wait([this, agent_generation = agent_generation_](auto cancelled) {
+        if (!cancelled && agent_generation == agent_generation_) watch();
     });
 }
 
-bool Discovery::watched(const std::string& body) try {
+bool Discovery::apply_short_list(const std::string& body) try {
     const EndpointList list = parse_endpoint_list(Json::parse(body), limits_.entries);
-    // Changes build on the list that they were asked for; without one they say nothing whole.
+    // Changes apply only to the list for which they were requested; without one they are not a whole list.
     if (!list.complete && !revision_) throw InvalidInput("changes instead of the whole list");
-    if (list.complete && directory_.size() > kMostToldAtOnce) return update_by(list);
+    if (list.complete && directory_.size() > kMaxUnbatchedEndpoints) return start_update(list);
     revision_ = list.revision;
-    told_(list);
+    on_list_(list);
     return true;
-} catch (const std::exception& bad) {
-    std::cerr << "discovery: an unreadable list: " << bad.what() << '\n';
+} catch (const std::exception& error) {
+    std::cerr << "discovery: an unreadable list: " << error.what() << '\n';
     return false;
 }
 
-bool Discovery::update_by(const EndpointList& list) {
+bool Discovery::start_update(const EndpointList& list) {
     update_ = std::make_shared<ListUpdate>(directory_);
-    for (const EndpointRecord& target : list.endpoints) update_->take(target);
-    tell({list.revision, list.complete});
+    for (const EndpointRecord& endpoint : list.endpoints) update_->take(endpoint);
+    start_batches({list.revision, list.complete});
     return true;
 }
 
-void Discovery::read_piece(std::string_view piece) {
+void Discovery::read_chunk(std::string_view chunk) {
     if (!reader_) {
         update_ = std::make_shared<ListUpdate>(directory_);
         reader_.emplace(
-            limits_, [update = update_](EndpointRecord target) { update->take(std::move(target)); });
+            limits_, [update = update_](EndpointRecord endpoint) { update->take(std::move(endpoint)); });
     }
-    reader_->feed(piece);
+    reader_->feed(chunk);
 }
 
-bool Discovery::read_to_the_end() try {
+bool Discovery::finish_reading() try {
     const ListReader::Head head = reader_->finish();
     if (!head.complete && !revision_) throw InvalidInput("changes instead of the whole list");
     reader_.reset();
-    tell(head);
+    start_batches(head);
     return true;
-} catch (const std::exception& bad) {
-    std::cerr << "discovery: an unreadable list: " << bad.what() << '\n';
+} catch (const std::exception& error) {
+    std::cerr << "discovery: an unreadable list: " << error.what() << '\n';
     return false;
 }
 
-void Discovery::tell(ListReader::Head head) {
+void Discovery::start_batches(ListReader::Head head) {
     update_->finish(head.complete);
-    telling_ = Telling{head, stay_};
-    asio::post(io_, [this] { tell_slice(); });
+    batched_list_ = BatchedList{head, agent_generation_};
+    asio::post(io_, [this] { apply_next_batch(); });
 }
 
-void Discovery::tell_slice() {
-    if (!telling_) return;
-    if (auto slice = update_->next()) {
-        tell_one(std::move(*slice));
-        return asio::post(io_, [this] { tell_slice(); });
+void Discovery::apply_next_batch() {
+    if (!batched_list_) return;
+    if (auto batch = update_->next()) {
+        apply_batch(std::move(*batch));
+        return asio::post(io_, [this] { apply_next_batch(); });
     }
-    const Telling told = *std::exchange(telling_, std::nullopt);
+    const BatchedList list = *std::exchange(batched_list_, std::nullopt);
     update_.reset();
-    if (told.stay == stay_) revision_ = told.head.revision;
-    if (watch_waits_) watch();
+    if (list.agent_generation == agent_generation_) revision_ = list.head.revision;
+    if (watch_deferred_) watch();
 }
 
-/// A fault in one slice must not keep back the others.
-void Discovery::tell_one(EndpointList slice) try {
-    slice.revision = telling_->head.revision;
-    told_(slice);
-} catch (const std::exception& bad) {
-    std::cerr << "discovery: a part of the list is passed over: " << bad.what() << '\n';
+/// An error in one batch must not prevent the others from being applied.
+void Discovery::apply_batch(EndpointList batch) try {
+    batch.revision = batched_list_->head.revision;
+    on_list_(batch);
+} catch (const std::exception& error) {
+    std::cerr << "discovery: a part of the list is passed over: " << error.what() << '\n';
 }
 
-/// What has arrived of a long list counts for nothing.
-void Discovery::refuse() {
-    telling_.reset();
-    watch_waits_ = false;
+/// Discards all that has arrived of a long list.
+void Discovery::discard_update() {
+    batched_list_.reset();
+    watch_deferred_ = false;
     reader_.reset();
     ListUpdate::discard(io_, std::exchange(update_, nullptr));
 }
 
 void Discovery::report(MessageId id, const EndNotice& notice) {
     notices_.insert_or_assign(id, notice);
-    post();
+    send_notices();
 }
 
-void Discovery::post() {
-    if (!reports_ || suspended_ || posting_ || notices_.empty()) return;
-    posting_ = true;
+void Discovery::send_notices() {
+    if (!notice_connection_ || suspended_ || sending_notices_ || notices_.empty()) return;
+    sending_notices_ = true;
     std::string body;
     std::vector<MessageId> sent;
     for (const auto& [id, notice] : notices_) {
-        if (sent.size() == kMostNotices) break;
+        if (sent.size() == kMaxNoticesPerRequest) break;
         Json line{{"ref", cometspoke::settings::format_message_id(id)},
             {"result", notice.bounced ? "bounced" : "dead"}};
         if (notice.bounced && notice.retry_after > 0ms) line["wait_ms"] = notice.retry_after.count();
         body += line.dump() + "\n";
         sent.push_back(id);
     }
-    reports_->ask(http::verb::post, "/reports", body, turns_.notices_within(report_failures_),
+    notice_connection_->send(http::verb::post, "/reports", body, schedule_.notice_timeout(notice_failures_),
         [this, sent = std::move(sent)](unsigned status, const std::string& text) {
-            posting_ = false;
+            sending_notices_ = false;
             if (status == 204) {
-                report_failures_ = 0;
-                for (const MessageId id : sent) notices_.erase(id), confirmed_(id);
-                return post();
+                notice_failures_ = 0;
+                for (const MessageId id : sent) notices_.erase(id), on_notice_confirmed_(id);
+                return send_notices();
             }
             counters().add(Counter::NoticeFailures);
             std::cerr << "discovery: notices not taken: " << status << ' ' << text.substr(0, 80) << '\n';
-            report_pause_.expires_after(turns_.after_refused_notices(++report_failures_));
-            report_pause_.async_wait([this, stay = stay_](auto cancelled) {
-                if (!cancelled && stay == stay_) post();
+            notice_timer_.expires_after(schedule_.notice_retry_delay(++notice_failures_));
+            notice_timer_.async_wait([this, agent_generation = agent_generation_](auto cancelled) {
+                if (!cancelled && agent_generation == agent_generation_) send_notices();
             });
         });
 }
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -1,4 +1,5 @@
-/// The agent of discovery: the list of targets and what changes in it, and notices to the platform.
+/// The client of the discovery agent: it receives the list of endpoints and its changes, and sends end
+/// notices to the platform.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -17,105 +18,110 @@
 
 namespace lockgw {
 
-/// When to call discovery, which answers all forwarders of a fleet in turn: those that start, move or fail
-/// together must not call together, and none may call so late that it breaks the rule on drains.
+/// Decides when to call discovery. Discovery serves the forwarders of a fleet one after another, so
+/// forwarders that start, move or fail together must not call at the same moment, and none may call so late
+/// that it misses the deadline for drains.
 class CallSchedule {
 public:
     CallSchedule(std::size_t forwarders, std::uint64_t seed);
-    /// Before the first call of a process that knows a list,
-    std::chrono::milliseconds first();
-    /// of one that was told to move to another agent,
-    std::chrono::milliseconds moved();
-    /// and after so many failures in a row, of calls for the list that were refused, of those that got no
-    /// answer in their time, and of notices.
-    std::chrono::milliseconds after_failure(int failures);
-    std::chrono::milliseconds after_silence(int failures);
-    std::chrono::milliseconds after_refused_notices(int failures);
-    /// For how long notices are waited for after so many failures in a row.
-    static std::chrono::milliseconds notices_within(int failures);
+    /// The delay before the first call of a process that already knows a list.
+    std::chrono::milliseconds first_call_delay();
+    /// The delay before the first call to another agent, after a configuration change.
+    std::chrono::milliseconds move_delay();
+    /// The delays after a number of consecutive failures: of list requests that were refused, of list
+    /// requests that timed out, and of requests that carry notices.
+    std::chrono::milliseconds failure_delay(int failures);
+    std::chrono::milliseconds timeout_delay(int failures);
+    std::chrono::milliseconds notice_retry_delay(int failures);
+    /// The timeout of a request that carries notices, after a number of consecutive failures.
+    static std::chrono::milliseconds notice_timeout(int failures);
 
-    /// How long the agent may hold a watch where the call before was answered, and where it was not; how long
-    /// an answer is waited for beyond that; and one to a call for the whole list. An overbooked discovery
-    /// answers late: who gives up sooner than its queue, 2 s, makes that one longer.
-    static constexpr std::chrono::milliseconds kHold{1900}, kFirstHold{100};
-    static constexpr std::chrono::milliseconds kWithin{1000}, kFirstWithin{2100}, kListWithin{1500};
+    /// How long the agent may hold a watch, after a call that succeeded and after one that did not.
+    static constexpr std::chrono::milliseconds kWatchHold{1900}, kFirstWatchHold{100};
+    /// How much longer than that the response to a watch is awaited, and the timeout of a request for the
+    /// whole list. An overloaded discovery responds late: a client that gives up before the 2 s of its queue
+    /// have passed makes that queue longer.
+    static constexpr std::chrono::milliseconds kWatchMargin{1000}, kFirstWatchMargin{2100},
+        kListTimeout{1500};
 
 private:
-    static int doubled(int failures);
-    std::chrono::milliseconds any_of(std::chrono::milliseconds span);
-    std::chrono::milliseconds half_or_more_of(std::chrono::milliseconds span);
+    static int backoff_factor(int failures);
+    std::chrono::milliseconds random_up_to(std::chrono::milliseconds duration);
+    std::chrono::milliseconds jittered(std::chrono::milliseconds duration);
 
     std::mt19937_64 random_;
-    std::chrono::milliseconds of_all_;  // in which each forwarder of the fleet may call once
+    std::chrono::milliseconds fleet_round_;  // the time in which each forwarder of the fleet may call once
 };
 
 class DiscoveryConnection;
 
 class Discovery {
 public:
-    /// A list, or one slice of a long one: what `directory` does not say already, each slice in a turn of its
-    /// own. The directory is brought up to it within the call.
-    using Told = std::function<void(const EndpointList&)>;
-    using Confirmed = std::function<void(MessageId)>;
+    /// Receives a list, or one batch of a long list. Batches hold only what differs from `directory`, and
+    /// each is passed in an event-loop iteration of its own. The callback must apply the list to the
+    /// directory.
+    using OnList = std::function<void(const EndpointList&)>;
+    using OnNoticeConfirmed = std::function<void(MessageId)>;
 
-    Discovery(asio::io_context& io, const Config& config, EndpointDirectory& directory, Told told,
-        Confirmed confirmed);
+    Discovery(asio::io_context& io, const Config& config, EndpointDirectory& directory, OnList on_list,
+        OnNoticeConfirmed on_notice_confirmed);
     ~Discovery();
 
-    /// `held`: the version of the whole list that is known already, if one is; changes are asked for from
-    /// there.
-    void start(std::optional<std::int64_t> held = std::nullopt);
-    /// Another process asks and tells from now on; `resume` undoes it, with every notice that is not
-    /// confirmed.
+    /// `known_revision` is the revision of the complete list that is already known, if there is one. Only
+    /// changes since that revision are requested then.
+    void start(std::optional<std::int64_t> known_revision = std::nullopt);
+    /// Stops all requests because another process takes over. resume() starts them again and sends every
+    /// unconfirmed notice again.
     void suspend();
     void resume();
-    /// The notices are another process's.
+    /// Drops the notices because another process has become responsible for them.
     void forget_notices() { notices_.clear(); }
-    /// Another agent takes the place of the present one; `anew`: the whole list is asked for also where it
-    /// stays.
-    void move_to(const Tcp::endpoint& address, bool anew);
-    /// Posted until it is answered 204.
+    /// Replaces the agent. With `force_reload` the complete list is requested even if the address is the
+    /// same.
+    void move_to(const Tcp::endpoint& address, bool force_reload);
+    /// Sends the notice, repeatedly until the agent responds with 204.
     void report(MessageId id, const EndNotice& notice);
     bool all_confirmed() const { return notices_.empty(); }
 
 private:
-    void begin(std::optional<std::int64_t> held, std::chrono::milliseconds pause);
-    void leave();
+    void connect(std::optional<std::int64_t> known_revision, std::chrono::milliseconds delay);
+    void cancel_requests();
     void watch();
-    void watch_after(std::chrono::milliseconds pause);
-    void answered(unsigned status, const std::string& body);
-    bool watched(const std::string& body);
-    void read_piece(std::string_view piece);
-    bool read_to_the_end();
-    bool update_by(const EndpointList& list);
-    void tell(ListReader::Head head);
-    void tell_slice();
-    void tell_one(EndpointList slice);
-    void refuse();
-    void post();
+    void schedule_watch(std::chrono::milliseconds delay);
+    void on_watch_response(unsigned status, const std::string& body);
+    bool apply_short_list(const std::string& body);
+    void read_chunk(std::string_view chunk);
+    bool finish_reading();
+    bool start_update(const EndpointList& list);
+    void start_batches(ListReader::Head head);
+    void apply_next_batch();
+    void apply_batch(EndpointList batch);
+    void discard_update();
+    void send_notices();
 
     asio::io_context& io_;
     Tcp::endpoint address_;
     EndpointDirectory& directory_;
     ListLimits limits_;
-    Told told_;
-    Confirmed confirmed_;
-    std::optional<std::int64_t> revision_;  // none where no whole list of this agent is known
-    CallSchedule turns_;
-    std::shared_ptr<DiscoveryConnection> watch_, reports_;
-    asio::steady_timer watch_pause_, report_pause_;
-    int watch_failures_ = 0, report_failures_ = 0;
-    std::uint64_t stay_ = 0;  // with this agent: pauses of an earlier one end in nothing
-    bool posting_ = false, suspended_ = false, heard_ = false;
-    std::chrono::steady_clock::time_point silent_at_{};  // when the call that is out has had its time
-    std::optional<ListReader> reader_;                   // of a long list that is arriving
-    std::shared_ptr<ListUpdate> update_;                 // what it changes
-    struct Telling {
+    OnList on_list_;
+    OnNoticeConfirmed on_notice_confirmed_;
+    std::optional<std::int64_t> revision_;  // empty until a complete list of this agent is known
+    CallSchedule schedule_;
+    std::shared_ptr<DiscoveryConnection> watch_connection_, notice_connection_;
+    asio::steady_timer watch_timer_, notice_timer_;
+    int watch_failures_ = 0, notice_failures_ = 0;
+    std::uint64_t agent_generation_ =
+        0;  // counts changes of the agent; timers of an earlier one have no effect
+    bool sending_notices_ = false, suspended_ = false, last_watch_succeeded_ = false;
+    std::chrono::steady_clock::time_point response_deadline_{};  // of the list request in progress
+    std::optional<ListReader> reader_;                           // set while a long list arrives
+    std::shared_ptr<ListUpdate> update_;                         // the changes that a long list makes
+    struct BatchedList {
         ListReader::Head head;
-        std::uint64_t stay = 0;  // with the agent that told it
+        std::uint64_t agent_generation = 0;  // the one in which the list arrived
     };
-    std::optional<Telling> telling_;  // it has arrived, and is told in slices
-    bool watch_waits_ = false;        // for the last of them
+    std::optional<BatchedList> batched_list_;  // a list that has arrived and is being applied in batches
+    bool watch_deferred_ = false;              // the next watch waits for the last batch
     std::map<MessageId, EndNotice> notices_;
 };
 
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -534,18 +534,18 @@
 // A change counts as told 6 s after the agent had it at the latest, and 4 s after a move to another agent;
 // what drains binds 2 s later. Each path is added up at its worst.
 TEST(Turns, OfALargeFleetLeaveTimeForTheRuleOnDrains) {
-    constexpr auto no_answer = CallSchedule::kFirstHold + CallSchedule::kFirstWithin,
-                   no_whole_list = CallSchedule::kListWithin;
-    constexpr auto fallen_silent = CallSchedule::kHold + CallSchedule::kWithin;
+    constexpr auto no_answer = CallSchedule::kFirstWatchHold + CallSchedule::kFirstWatchMargin,
+                   no_whole_list = CallSchedule::kListTimeout;
+    constexpr auto fallen_silent = CallSchedule::kWatchHold + CallSchedule::kWatchMargin;
     for (const std::size_t forwarders : {std::size_t(3), std::size_t(300), std::size_t(1) << 60}) {
         auto first = 0ms, moved = 0ms, pause = 0ms, silence = 0ms;
         for (std::uint64_t seed = 0; seed < 300; ++seed) {
             CallSchedule turns(forwarders, seed);
-            first = std::max(first, turns.first());
-            moved = std::max(moved, turns.moved());
+            first = std::max(first, turns.first_call_delay());
+            moved = std::max(moved, turns.move_delay());
             for (int failures = 1; failures < 9; ++failures) {
-                pause = std::max(pause, turns.after_failure(failures));
-                silence = std::max(silence, turns.after_silence(failures));
+                pause = std::max(pause, turns.failure_delay(failures));
+                silence = std::max(silence, turns.timeout_delay(failures));
             }
         }
         EXPECT_LE(fallen_silent + silence + no_answer + silence, 6000ms) << forwarders;
