--- a/src/net/endpoint_directory.cpp
+++ b/src/net/endpoint_directory.cpp
@@ -10,162 +10,164 @@
 
 namespace {
 
-constexpr auto kDestinationMemory = 10min;       // its targets are being replaced, not given up
-constexpr std::size_t kMostTargets = 2'000'000;  // numbers in use; a list's own limit comes long before it
-constexpr std::size_t kMostFormer = 10'000;      // more names of those that have gone are not remembered
+constexpr auto kMaxEmptyDestinationAge = 10min;  // its endpoints may be about to be replaced
+// The number of ids in use. The limit on the entries of a list is reached long before.
+constexpr std::size_t kMaxEndpoints = 2'000'000;
+constexpr std::size_t kMaxFormerNames = 10'000;  // names of removed endpoints that are remembered
 
 }  // namespace
 
 EndpointId EndpointDirectory::id_of(const std::string& name) {
-    const auto found = numbers_.find(name);
-    if (found != numbers_.end()) return found->second;
-    if (entries_.size() >= kMostTargets) throw cometspoke::settings::InvalidInput("too many targets");
-    const auto entry = entries_.emplace_hint(entries_.end(), next_, Entry{name});
-    numbers_.emplace(entry->second.name, next_);
-    return next_++;
+    const auto found = ids_.find(name);
+    if (found != ids_.end()) return found->second;
+    if (entries_.size() >= kMaxEndpoints) throw cometspoke::settings::InvalidInput("too many targets");
+    const auto entry = entries_.emplace_hint(entries_.end(), next_id_, Entry{name});
+    ids_.emplace(entry->second.name, next_id_);
+    return next_id_++;
 }
 
 std::optional<EndpointId> EndpointDirectory::find(const std::string& name) const {
-    const auto found = numbers_.find(name);
-    return found == numbers_.end() ? std::nullopt : std::optional(found->second);
+    const auto found = ids_.find(name);
+    return found == ids_.end() ? std::nullopt : std::optional(found->second);
 }
 
-const std::string* EndpointDirectory::name_of(EndpointId number) const {
-    const auto found = entries_.find(number);
+const std::string* EndpointDirectory::name_of(EndpointId id) const {
+    const auto found = entries_.find(id);
     return found == entries_.end() ? nullptr : &found->second.name;
 }
 
-void EndpointDirectory::forget(EndpointId number) {
-    const auto found = entries_.find(number);
+void EndpointDirectory::forget(EndpointId id) {
+    const auto found = entries_.find(id);
     if (found == entries_.end() || found->second.destination) return;
     remember(found->second.name);
-    numbers_.erase(found->second.name);
+    ids_.erase(found->second.name);
     entries_.erase(found);
 }
 
 bool EndpointDirectory::ever_listed(const std::string& name) const {
-    return numbers_.contains(name) || former_.contains(name);
+    return ids_.contains(name) || former_names_.contains(name);
 }
 
 void EndpointDirectory::remember(const std::string& name) {
-    if (former_.size() < kMostFormer) former_.insert(name);
+    if (former_names_.size() < kMaxFormerNames) former_names_.insert(name);
 }
 
-void EndpointDirectory::list(Entry& entry, const EndpointRecord& target) {
-    if (!entry.destination) ++listed_;
-    if (entry.destination != target.destination) {
-        ++targets_[target.destination];
-        deserted_.erase(target.destination);
+void EndpointDirectory::set_listed(Entry& entry, const EndpointRecord& endpoint) {
+    if (!entry.destination) ++listed_count_;
+    if (entry.destination != endpoint.destination) {
+        ++endpoint_counts_[endpoint.destination];
+        empty_since_.erase(endpoint.destination);
     }
-    entry.destination = target.destination;
-    entry.address = target.address;
-    entry.zone = &*texts_.insert(target.zone).first;
-    entry.kind = &*texts_.insert(target.kind).first;
-    entry.rate = target.rate;
-    entry.condition = target.condition;
-    entry.named_in = comparison_;
+    entry.destination = endpoint.destination;
+    entry.address = endpoint.address;
+    entry.zone = &*zone_and_kind_names_.insert(endpoint.zone).first;
+    entry.kind = &*zone_and_kind_names_.insert(endpoint.kind).first;
+    entry.rate = endpoint.rate;
+    entry.condition = endpoint.condition;
+    entry.last_comparison = comparison_;
 }
 
-void EndpointDirectory::unlist(Entry& entry, Clock::time_point now) {
+void EndpointDirectory::set_unlisted(Entry& entry, Clock::time_point now) {
     if (!entry.destination) return;
-    --listed_;
-    leave(*std::exchange(entry.destination, std::nullopt), now);
+    --listed_count_;
+    remove_from_destination(*std::exchange(entry.destination, std::nullopt), now);
 }
 
-void EndpointDirectory::leave(std::int64_t destination, Clock::time_point now) {
-    const auto found = targets_.find(destination);
+void EndpointDirectory::remove_from_destination(std::int64_t destination, Clock::time_point now) {
+    const auto found = endpoint_counts_.find(destination);
     if (--found->second > 0) return;
-    targets_.erase(found);
-    deserted_.insert_or_assign(destination, now);
-    deserted_order_.emplace_back(now, destination);
-}
-
-void EndpointDirectory::forget_deserted(Clock::time_point now) {
-    while (!deserted_order_.empty() && deserted_order_.front().first + kDestinationMemory <= now) {
-        const auto [since, destination] = deserted_order_.front();
-        deserted_order_.pop_front();
-        const auto found = deserted_.find(destination);
-        if (found != deserted_.end() && found->second == since) deserted_.erase(found);
+    endpoint_counts_.erase(found);
+    empty_since_.insert_or_assign(destination, now);
+    empty_destinations_by_age_.emplace_back(now, destination);
+}
+
+void EndpointDirectory::forget_empty_destinations(Clock::time_point now) {
+    while (!empty_destinations_by_age_.empty() &&
+           empty_destinations_by_age_.front().first + kMaxEmptyDestinationAge <= now) {
+        const auto [since, destination] = empty_destinations_by_age_.front();
+        empty_destinations_by_age_.pop_front();
+        const auto found = empty_since_.find(destination);
+        if (found != empty_since_.end() && found->second == since) empty_since_.erase(found);
     }
 }
 
-std::set<EndpointId> EndpointDirectory::apply(const EndpointList& told, Clock::time_point now) {
-    std::set<EndpointId> gone;
-    if (told.complete)
-        for (const auto& [number, entry] : entries_)
-            if (entry.destination) gone.insert(gone.end(), number);
-    for (const EndpointRecord& target : told.endpoints) {
-        const bool here = target.condition != Condition::Removed;
-        if (!here && !numbers_.contains(target.id)) continue;
-        const EndpointId number = id_of(target.id);
-        here ? gone.erase(number) : gone.insert(number).second;
-        if (!here) continue;
-        Entry& entry = entries_.at(number);
+std::set<EndpointId> EndpointDirectory::apply(const EndpointList& update, Clock::time_point now) {
+    std::set<EndpointId> removed;
+    if (update.complete)
+        for (const auto& [id, entry] : entries_)
+            if (entry.destination) removed.insert(removed.end(), id);
+    for (const EndpointRecord& endpoint : update.endpoints) {
+        const bool listed = endpoint.condition != Condition::Removed;
+        if (!listed && !ids_.contains(endpoint.id)) continue;
+        const EndpointId id = id_of(endpoint.id);
+        listed ? removed.erase(id) : removed.insert(id).second;
+        if (!listed) continue;
+        Entry& entry = entries_.at(id);
         const auto before = entry.destination;
-        list(entry, target);
-        if (before && before != target.destination) leave(*before, now);
+        set_listed(entry, endpoint);
+        if (before && before != endpoint.destination) remove_from_destination(*before, now);
     }
-    for (const EndpointId number : gone) unlist(entries_.at(number), now);
-    forget_deserted(now);
-    return gone;
+    for (const EndpointId id : removed) set_unlisted(entries_.at(id), now);
+    forget_empty_destinations(now);
+    return removed;
 }
 
 EndpointRecord EndpointDirectory::record_of(const Entry& entry) {
-    EndpointRecord target;
-    target.id = entry.name;
-    target.address = entry.address;
-    target.zone = *entry.zone;
-    target.kind = *entry.kind;
-    target.destination = *entry.destination;
-    target.rate = entry.rate;
-    target.condition = entry.condition;
-    return target;
+    EndpointRecord endpoint;
+    endpoint.id = entry.name;
+    endpoint.address = entry.address;
+    endpoint.zone = *entry.zone;
+    endpoint.kind = *entry.kind;
+    endpoint.destination = *entry.destination;
+    endpoint.rate = entry.rate;
+    endpoint.condition = entry.condition;
+    return endpoint;
 }
 
 std::optional<EndpointRecord> EndpointDirectory::record_of(const std::string& name) const {
-    const auto found = numbers_.find(name);
-    if (found == numbers_.end()) return std::nullopt;
+    const auto found = ids_.find(name);
+    if (found == ids_.end()) return std::nullopt;
     const Entry& entry = entries_.at(found->second);
     return entry.destination ? std::optional(record_of(entry)) : std::nullopt;
 }
 
 std::vector<EndpointRecord> EndpointDirectory::records() const {
     std::vector<EndpointRecord> all;
-    for (const auto& [number, entry] : entries_)
+    for (const auto& [id, entry] : entries_)
         if (entry.destination) all.push_back(record_of(entry));
     return all;
 }
 
-bool EndpointDirectory::compare(const EndpointRecord& target) {
-    const auto found = numbers_.find(target.id);
-    const bool gone = target.condition == Condition::Removed;
-    if (found == numbers_.end()) return gone;
+bool EndpointDirectory::compare(const EndpointRecord& endpoint) {
+    const auto found = ids_.find(endpoint.id);
+    const bool removed = endpoint.condition == Condition::Removed;
+    if (found == ids_.end()) return removed;
     Entry& entry = entries_.at(found->second);
-    entry.named_in = comparison_;
-    if (!entry.destination || gone) return !entry.destination && gone;
-    return *entry.destination == target.destination && entry.address == target.address &&
-           *entry.zone == target.zone && *entry.kind == target.kind && entry.rate == target.rate &&
-           entry.condition == target.condition;
+    entry.last_comparison = comparison_;
+    if (!entry.destination || removed) return !entry.destination && removed;
+    return *entry.destination == endpoint.destination && entry.address == endpoint.address &&
+           *entry.zone == endpoint.zone && *entry.kind == endpoint.kind && entry.rate == endpoint.rate &&
+           entry.condition == endpoint.condition;
 }
 
 std::vector<EndpointRecord> EndpointDirectory::missing(
     std::optional<EndpointId>& from, std::size_t count) const {
-    std::vector<EndpointRecord> gone;
+    std::vector<EndpointRecord> removed;
     auto at = entries_.lower_bound(*from);
     for (; at != entries_.end() && count > 0; ++at, --count) {
-        if (!at->second.destination || at->second.named_in == comparison_) continue;
-        EndpointRecord target = record_of(at->second);
-        target.condition = Condition::Removed;
-        gone.push_back(std::move(target));
+        if (!at->second.destination || at->second.last_comparison == comparison_) continue;
+        EndpointRecord endpoint = record_of(at->second);
+        endpoint.condition = Condition::Removed;
+        removed.push_back(std::move(endpoint));
     }
     from = at == entries_.end() ? std::nullopt : std::optional(at->first);
-    return gone;
+    return removed;
 }
 
 bool EndpointDirectory::has_destination(std::int64_t destination, Clock::time_point now) const {
-    if (targets_.contains(destination)) return true;
-    const auto found = deserted_.find(destination);
-    return found != deserted_.end() && found->second + kDestinationMemory > now;
+    if (endpoint_counts_.contains(destination)) return true;
+    const auto found = empty_since_.find(destination);
+    return found != empty_since_.end() && found->second + kMaxEmptyDestinationAge > now;
 }
 
 }  // namespace lockgw
--- a/src/net/endpoint_directory.hpp
+++ b/src/net/endpoint_directory.hpp
@@ -1,4 +1,4 @@
-/// Which targets there are: their numbers for the module, and which destinations the list has named.
+/// The known endpoints with their ids for the decision module, and the destinations that lists have named.
 #pragma once
 
 #include <chrono>
@@ -20,68 +20,71 @@
 public:
     using Clock = std::chrono::steady_clock;
 
-    /// The target's number, a new one where it has none. Numbers are never used twice: an outcome of a target
-    /// that has gone must not count for another.
+    /// Returns the endpoint's id and assigns a new one if it has none. Ids are never reused: an outcome of a
+    /// removed endpoint must not count for another one.
     cometspoke::EndpointId id_of(const std::string& name);
     std::optional<cometspoke::EndpointId> find(const std::string& name) const;
-    const std::string* name_of(cometspoke::EndpointId number) const;
-    void forget(cometspoke::EndpointId number);
-    /// Some list has named it, also where it has gone or was passed over.
+    const std::string* name_of(cometspoke::EndpointId id) const;
+    void forget(cometspoke::EndpointId id);
+    /// Whether any list has named it, even if it was removed since or its entry was skipped.
     bool ever_listed(const std::string& name) const;
     void remember(const std::string& name);
-    const std::set<std::string>& former_names() const { return former_; }
+    const std::set<std::string>& former_names() const { return former_names_; }
 
-    /// Takes what discovery tells; returns the numbers of those that are no longer listed.
-    std::set<cometspoke::EndpointId> apply(const EndpointList& told, Clock::time_point now);
-    /// How many are listed.
-    std::size_t size() const { return listed_; }
-    /// As it is listed; none where it is not.
+    /// Applies a list from discovery. Returns the ids of the endpoints that are no longer listed.
+    std::set<cometspoke::EndpointId> apply(const EndpointList& update, Clock::time_point now);
+    /// The number of listed endpoints.
+    std::size_t size() const { return listed_count_; }
+    /// The listed record of an endpoint, or nothing if it is not listed.
     std::optional<EndpointRecord> record_of(const std::string& name) const;
-    /// All that are listed.
+    /// The records of all listed endpoints.
     std::vector<EndpointRecord> records() const;
 
-    /// A list begins to arrive that has not been told yet.
+    /// Starts a comparison with a list that is arriving and has not been applied yet.
     void begin_comparison() { ++comparison_; }
-    /// Whether an entry of that list says what is listed already.
-    bool compare(const EndpointRecord& target);
-    /// Targets that are listed and that it has not named, looked for among `count` numbers from `from` on, as
-    /// gone. `from` moves on, and is none once all numbers have been looked at.
+    /// Whether an entry of that list equals what is listed already. Marks the endpoint as named by the list.
+    bool compare(const EndpointRecord& endpoint);
+    /// Examines `count` ids from `from` on and returns the listed endpoints that the arriving list has not
+    /// named, with the condition Removed. `from` advances, and is empty once all ids have been examined.
     std::vector<EndpointRecord> missing(std::optional<cometspoke::EndpointId>& from, std::size_t count) const;
 
-    /// Whether a message for it makes sense: it has targets, or had some not long ago.
+    /// Whether messages for the destination are valid: it has endpoints, or had some a short time ago.
     bool has_destination(std::int64_t destination, Clock::time_point now) const;
-    /// No list has named any target so far.
-    bool empty() const { return targets_.empty() && deserted_.empty(); }
+    /// True until a list names an endpoint.
+    bool empty() const { return endpoint_counts_.empty() && empty_since_.empty(); }
 
 private:
-    /// Short: there may be hundreds of thousands.
+    /// Kept small because there may be hundreds of thousands.
     struct Entry {
         std::string name;
-        std::optional<std::int64_t> destination{};  // while it is listed
+        std::optional<std::int64_t> destination{};  // set while it is listed
         Tcp::endpoint address{};
-        const std::string* zone = nullptr;  // one of texts_
+        const std::string* zone = nullptr;  // points into zone_and_kind_names_
         const std::string* kind = nullptr;
         double rate = 0.0;
         cometspoke::Condition condition = cometspoke::Condition::Removed;
-        std::uint32_t named_in = 0;  // the last comparison that named it
+        std::uint32_t last_comparison = 0;  // the last comparison whose list named it
     };
 
-    void list(Entry& entry, const EndpointRecord& target);
-    void unlist(Entry& entry, Clock::time_point now);
-    void leave(std::int64_t destination, Clock::time_point now);
-    void forget_deserted(Clock::time_point now);
+    void set_listed(Entry& entry, const EndpointRecord& endpoint);
+    void set_unlisted(Entry& entry, Clock::time_point now);
+    void remove_from_destination(std::int64_t destination, Clock::time_point now);
+    void forget_empty_destinations(Clock::time_point now);
     static EndpointRecord record_of(const Entry& entry);
 
-    std::map<std::string_view, cometspoke::EndpointId> numbers_;  // by the names in entries_
+    std::map<std::string_view, cometspoke::EndpointId> ids_;  // the keys refer to the names in entries_
     std::map<cometspoke::EndpointId, Entry> entries_;
-    std::set<std::string> texts_;   // of zones and kinds: the few that the settings name
-    std::set<std::string> former_;  // named by some list, and without a number now
-    cometspoke::EndpointId next_ = 0;
-    std::size_t listed_ = 0;
+    std::set<std::string> zone_and_kind_names_;  // the few zones and kinds that the settings name
+    std::set<std::string> former_names_;         // named by some list, but without an id now
+    cometspoke::EndpointId next_id_ = 0;
+    std::size_t listed_count_ = 0;
     std::uint32_t comparison_ = 0;
-    std::map<std::int64_t, std::size_t> targets_;         // by destination, of those that have any
-    std::map<std::int64_t, Clock::time_point> deserted_;  // when a destination's last target went
-    std::deque<std::pair<Clock::time_point, std::int64_t>> deserted_order_;  // the same, oldest first
+    /// The number of listed endpoints of each destination that has any.
+    std::map<std::int64_t, std::size_t> endpoint_counts_;
+    /// When the last endpoint of a destination was removed.
+    std::map<std::int64_t, Clock::time_point> empty_since_;
+    /// The same times, oldest first.
+    std::deque<std::pair<Clock::time_point, std::int64_t>> empty_destinations_by_age_;
 };
 
 }  // namespace lockgw
