--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -53,7 +53,7 @@
 constexpr std::uint64_t kMinBytesPerMs = 256;
 // If more endpoints than this are known, even a short list may remove very many of them and is applied in
 // batches.
-constexpr std::size_t kMaxUnbatchedEndpoints = 2 * ListUpdate::kSlice;
+constexpr std::size_t kMaxUnbatchedEndpoints = 2 * ListUpdate::kMaxBatchEntries;
 constexpr std::size_t kMaxForwarders = 100'000;
 constexpr std::size_t kMaxNoticesPerRequest = 256;
 
--- a/src/net/endpoint_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -1,4 +1,4 @@
-/// The list of targets in discovery's form.
+/// The list of endpoints in discovery's format.
 #pragma once
 
 #include <cstddef>
@@ -19,29 +19,29 @@
     double rate = 0.0;
     cometspoke::Condition condition = cometspoke::Condition::Removed;
 };
-/// A list as it was told, or one slice of a long one.
+/// A list from discovery, or one batch of a long list.
 struct EndpointList {
     std::int64_t revision = 0;
     bool complete = false;
     std::vector<EndpointRecord> endpoints;
-    bool all_entries_valid = true;  ///< each entry made sense
-    bool has_more_batches = false;  ///< further slices of the same list follow
+    bool all_entries_valid = true;  ///< false if an entry was invalid
+    bool has_more_batches = false;  ///< further batches of the same list follow
 };
 
-/// What the limits of the configuration allow a list to hold.
+/// The limits on a list that follow from the configuration's limits.
 struct ListLimits {
     std::size_t entries = 0;
-    std::uint64_t bytes = 0;  ///< of its text
+    std::uint64_t bytes = 0;  ///< the size of the JSON text
 };
 ListLimits list_limits(std::size_t memory_bytes, std::size_t descriptors);
 
-/// One entry; throws InvalidInput or a JSON error where it makes no sense.
+/// Parses one entry. Throws InvalidInput or a JSON error if it is invalid.
 EndpointRecord parse_endpoint(const Json& member);
-/// What stands for an entry that makes no sense: a target that has gone, as far as its id can be read. Its
-/// revision counts as told, and it would never be sent again.
+/// Returns a record that replaces an invalid entry: an endpoint that was removed, if the entry's id can be
+/// read. The revision counts as received, so discovery would never send the entry again.
 std::optional<EndpointRecord> parse_removed_endpoint(const Json& member);
 
-/// Throws InvalidInput or a JSON error where it is no list.
-EndpointList parse_endpoint_list(const Json& body, std::size_t most_entries);
+/// Throws InvalidInput or a JSON error if the body is not a list.
+EndpointList parse_endpoint_list(const Json& body, std::size_t max_entries);
 
 }  // namespace lockgw
--- a/src/net/list_reader.hpp
+++ b/src/net/list_reader.hpp
@@ -1,5 +1,5 @@
-/// Reads a long list entry by entry as its bytes arrive: it is never held as a whole, and the work of each
-/// call is bounded by the bytes of that call.
+/// Reads a long list entry by entry as its bytes arrive. The list is never held as a whole, and the work of
+/// each call is bounded by the bytes of that call.
 #pragma once
 
 #include <functional>
@@ -12,51 +12,52 @@
 
 class ListReader {
 public:
-    using Take = std::function<void(EndpointRecord)>;
-    /// What stands around the entries.
+    using OnEntry = std::function<void(EndpointRecord)>;
+    /// The values outside the array of entries.
     struct Head {
         std::int64_t revision = 0;
         bool complete = false;
     };
 
-    ListReader(ListLimits limits, Take take);
+    ListReader(ListLimits limits, OnEntry on_entry);
 
-    /// The next bytes of the list. Throws InvalidInput or a JSON error once it cannot be a list, or is over a
-    /// limit; what was taken before that must count for nothing then.
+    /// Reads the next bytes of the list. Throws InvalidInput or a JSON error if they cannot belong to a list
+    /// or exceed a limit. The caller must then discard the entries that were passed on before.
     void feed(std::string_view bytes);
-    /// After the last byte. Throws where something is missing.
+    /// Must be called after the last byte. Throws if something is missing.
     Head finish();
 
     std::size_t entries() const { return entries_; }
     std::uint64_t bytes() const { return bytes_; }
 
 private:
-    enum class Place { Before, FirstEntry, Entry, InEntry, AfterEntry, After };
+    enum class Position { BeforeMembers, BeforeFirstEntry, BeforeEntry, InEntry, AfterEntry, AfterMembers };
 
-    void step(char byte);
-    void outside(char byte);
+    void consume(char byte);
+    void read_envelope(char byte);
     void begin_entry(char byte);
-    void in_entry(char byte);
-    void after_entry(char byte);
+    void continue_entry(char byte);
+    void read_separator(char byte);
     void end_entry();
-    void pass_over(const Json& member, const std::exception& bad);
-    bool members_begin() const;
+    void skip_entry(const Json& member, const std::exception& error);
+    bool at_members_array() const;
 
-    /// Where strings begin and end, and how deep in objects and arrays a byte stands.
-    struct Nesting {
+    /// Tracks strings and the nesting depth of objects and arrays.
+    struct JsonScanner {
         std::size_t depth = 0;
         bool in_string = false, escaped = false;
-        void step(char byte);
+        void consume(char byte);
     };
 
     ListLimits limits_;
-    Take take_;
-    Place place_ = Place::Before;
-    Nesting nesting_;
-    std::string frame_;                        ///< all but the entries
-    std::size_t name_at_ = std::string::npos;  ///< where the last string of the outer object begins in frame_
+    OnEntry on_entry_;
+    Position position_ = Position::BeforeMembers;
+    JsonScanner scanner_;
+    std::string envelope_;  ///< the text without the entries
+    /// The offset in envelope_ of the last string of the outer object.
+    std::size_t last_string_at_ = std::string::npos;
     std::string entry_;
-    std::size_t entries_ = 0, passed_over_ = 0;
+    std::size_t entries_ = 0, skipped_ = 0;
     std::uint64_t bytes_ = 0;
 };
 
--- a/src/net/list_update.cpp
+++ b/src/net/list_update.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t kDiscarded = 4096;  // entries freed in one turn
+constexpr std::size_t kMaxFreedEntries = 4096;  // of each map, in one event-loop iteration
 
 }  // namespace
 
@@ -17,50 +17,50 @@
     directory_.begin_comparison();
 }
 
-void ListUpdate::take(EndpointRecord target) {
-    const bool same = directory_.compare(target);
-    leaving_.erase(target.id);
-    staying_.erase(target.id);
+void ListUpdate::take(EndpointRecord endpoint) {
+    const bool same = directory_.compare(endpoint);
+    withdrawn_.erase(endpoint.id);
+    available_.erase(endpoint.id);
     if (same) return;
-    Changed& changed = target.condition == Condition::Ready ? staying_ : leaving_;
-    std::string id = target.id;
-    changed.emplace(std::move(id), std::move(target));
+    Changes& changed = endpoint.condition == Condition::Ready ? available_ : withdrawn_;
+    std::string id = endpoint.id;
+    changed.emplace(std::move(id), std::move(endpoint));
 }
 
 void ListUpdate::finish(bool complete) {
-    if (complete) missing_from_ = 0;
+    if (complete) next_unchecked_id_ = 0;
 }
 
 std::optional<EndpointList> ListUpdate::next() {
-    EndpointList slice;
-    if (!leaving_.empty()) {
-        move_some(leaving_, slice);
-    } else if (missing_from_) {
-        slice.endpoints = directory_.missing(missing_from_, kSlice);
-    } else if (!staying_.empty()) {
-        move_some(staying_, slice);
+    EndpointList batch;
+    if (!withdrawn_.empty()) {
+        move_batch(withdrawn_, batch);
+    } else if (next_unchecked_id_) {
+        batch.endpoints = directory_.missing(next_unchecked_id_, kMaxBatchEntries);
+    } else if (!available_.empty()) {
+        move_batch(available_, batch);
     } else {
         return std::nullopt;
     }
-    slice.has_more_batches = !leaving_.empty() || missing_from_ || !staying_.empty();
-    return slice;
+    batch.has_more_batches = !withdrawn_.empty() || next_unchecked_id_ || !available_.empty();
+    return batch;
 }
 
-void ListUpdate::move_some(Changed& from, EndpointList& slice) {
-    while (!from.empty() && slice.endpoints.size() < kSlice)
-        slice.endpoints.push_back(std::move(from.extract(from.begin()).mapped()));
+void ListUpdate::move_batch(Changes& from, EndpointList& batch) {
+    while (!from.empty() && batch.endpoints.size() < kMaxBatchEntries)
+        batch.endpoints.push_back(std::move(from.extract(from.begin()).mapped()));
 }
 
-bool ListUpdate::discard_some() {
-    for (std::size_t count = 0; count < kDiscarded && !leaving_.empty(); ++count)
-        leaving_.erase(leaving_.begin());
-    for (std::size_t count = 0; count < kDiscarded && !staying_.empty(); ++count)
-        staying_.erase(staying_.begin());
-    return !leaving_.empty() || !staying_.empty();
+bool ListUpdate::free_some() {
+    for (std::size_t count = 0; count < kMaxFreedEntries && !withdrawn_.empty(); ++count)
+        withdrawn_.erase(withdrawn_.begin());
+    for (std::size_t count = 0; count < kMaxFreedEntries && !available_.empty(); ++count)
+        available_.erase(available_.begin());
+    return !withdrawn_.empty() || !available_.empty();
 }
 
 void ListUpdate::discard(boost::asio::io_context& io, std::shared_ptr<ListUpdate> update) {
-    if (update && update->discard_some()) boost::asio::post(io, [&io, update] { discard(io, update); });
+    if (update && update->free_some()) boost::asio::post(io, [&io, update] { discard(io, update); });
 }
 
 }  // namespace lockgw
--- a/src/net/list_update.hpp
+++ b/src/net/list_update.hpp
@@ -1,4 +1,4 @@
-/// What a long list changes in what is known, found while it arrives and told in slices.
+/// Determines the changes that a long list makes while it arrives, and returns them in batches.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,36 +13,37 @@
 
 namespace lockgw {
 
-/// Until finish() nothing has changed, and the whole can be dropped. Until the last slice is told the
-/// directory must hear of no other list.
+/// The directory does not change until finish(), so an unfinished update can be dropped. No other list may be
+/// applied to the directory until the last batch has been.
 class ListUpdate {
 public:
-    /// Entries of a slice: what follows from one must take a few milliseconds at most.
-    static constexpr std::size_t kSlice = 512;
+    /// Applying one batch must take a few milliseconds at most.
+    static constexpr std::size_t kMaxBatchEntries = 512;
 
     explicit ListUpdate(EndpointDirectory& directory);
 
-    /// An entry; a later one of the same target takes its place.
-    void take(EndpointRecord target);
-    /// It has all arrived. `complete`: what it does not name has gone.
+    /// Adds an entry. It replaces an earlier one of the same endpoint.
+    void take(EndpointRecord endpoint);
+    /// Ends the list. If it is `complete`, endpoints that it does not name are removed.
     void finish(bool complete);
-    /// What to tell next, drains and what has gone first; none once all has been told. At most kSlice
-    /// entries, and perhaps none.
+    /// Returns the next batch, or nothing after the last one. Draining and removed endpoints come first. A
+    /// batch has at most kMaxBatchEntries entries and may be empty.
     std::optional<EndpointList> next();
 
-    /// Frees it over several turns of the loop: a list of hundreds of thousands takes a while.
+    /// Frees an update over several event-loop iterations: hundreds of thousands of entries take a while.
     static void discard(boost::asio::io_context& io, std::shared_ptr<ListUpdate> update);
 
 private:
-    using Changed = std::map<std::string, EndpointRecord>;
+    using Changes = std::map<std::string, EndpointRecord>;
 
-    static void move_some(Changed& from, EndpointList& slice);
-    bool discard_some();
+    static void move_batch(Changes& from, EndpointList& batch);
+    bool free_some();
 
     EndpointDirectory& directory_;
-    Changed leaving_;  ///< drains, and entries that say that a target has gone
-    Changed staying_;
-    std::optional<cometspoke::EndpointId> missing_from_;  ///< numbers from there on may have gone unnamed
+    Changes withdrawn_;  ///< endpoints that drain or were removed
+    Changes available_;
+    /// The ids from here on are not checked yet for endpoints that the list does not name.
+    std::optional<cometspoke::EndpointId> next_unchecked_id_;
 };
 
 }  // namespace lockgw
--- a/tests/endpoint_directory_test.cpp
+++ b/tests/endpoint_directory_test.cpp
@@ -212,7 +212,7 @@
         update.finish(complete);
         std::vector<std::vector<EndpointRecord>> slices;
         while (const auto slice = update.next()) {
-            EXPECT_LE(slice->endpoints.size(), ListUpdate::kSlice);
+            EXPECT_LE(slice->endpoints.size(), ListUpdate::kMaxBatchEntries);
             EXPECT_FALSE(slice->complete);
             directory.apply(*slice, now);
             if (!slice->endpoints.empty()) slices.push_back(slice->endpoints);
@@ -223,7 +223,7 @@
 
 TEST_F(ListUpdateTest, TellsAFirstListInSlices) {
     const auto slices = update(many(3000));
-    EXPECT_GE(slices.size(), 3000 / ListUpdate::kSlice);
+    EXPECT_GE(slices.size(), 3000 / ListUpdate::kMaxBatchEntries);
     EXPECT_EQ(directory.size(), 3000u);
     EXPECT_TRUE(directory.has_destination(2999, now));
 }
