--- a/tests/endpoint_directory_test.cpp
+++ b/tests/endpoint_directory_test.cpp
@@ -406,6 +406,16 @@
             if (Clock::now() > until) return false;
         return true;
     }
+    /// The next request to the agent that is not a watch. The old process repeats its unanswered watch while
+    /// the new process starts.
+    Exchange next_request_except_watches() {
+        const auto until = Clock::now() + kDeadline;
+        while (true) {
+            const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - Clock::now());
+            Exchange exchange = agent.next(std::max(left, 0ms));
+            if (!std::string(exchange.request.target()).starts_with("/v1/servers?from=")) return exchange;
+        }
+    }
 };
 TEST_F(HugeHandover, TheNewOneTakesOverAndAsksForTheList) {
     const Tcp::endpoint before = Node::other_address(), after = Node::other_address();
@@ -416,7 +426,7 @@
     agent_request("/v1/servers?from=2");
     node.start_beside(after);
     ASSERT_TRUE(says_yes(after)) << node.log();
-    const Exchange first = agent_request("/v1/servers");
+    const Exchange first = next_request_except_watches();
     EXPECT_EQ(first.request.target(), "/v1/servers");
     Client client = node.client();
     EXPECT_TRUE(
