--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -1,4 +1,4 @@
-/// What the tests share: small settings, events and ways to read actions.
+/// Shared by the tests of the Sender: settings, events and functions that read actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -54,7 +54,7 @@
     return found;
 }
 
-/// A Sender with a clock, and events in few words.
+/// A Sender with a simulated clock and shorthands for its events.
 class Rig {
 public:
     explicit Rig(Settings settings = make_settings(), std::uint64_t seed = 1)
@@ -91,7 +91,7 @@
         for (const Send& send : sends()) ids.push_back(send.message);
         return ids;
     }
-    /// Lets time pass in steps, deciding at each, and returns the sends with their times.
+    /// Advances the clock in steps, calls decide() at each step, and returns the sends with their times.
     std::vector<std::pair<Time, Send>> pass(Time span, Time step = ms(10)) {
         std::vector<std::pair<Time, Send>> found;
         for (const Time end = now + span; now < end;) {
--- a/tests/sender_test.cpp
+++ b/tests/sender_test.cpp
@@ -9,11 +9,11 @@
 
 using Ids = std::vector<MessageId>;
 
-// ---- endpoints out by hand ----
+// ---- disabled endpoints ----
 
-TEST(Ban, HoldsWhateverTheListSaysBeforeOrAfter) {
+TEST(AdministrativeDisable, AppliesWhateverTheListSaysBeforeOrAfter) {
     Rig rig;
-    rig.sender.observe(AdminDisableEvent{0, true}, rig.now);  // named by hand before any list names it
+    rig.sender.observe(AdminDisableEvent{0, true}, rig.now);  // disabled before any list names it
     rig.list(0, 1);
     rig.arrive(1, 1);
     EXPECT_TRUE(rig.pass(ms(500)).empty());
@@ -21,18 +21,20 @@
     rig.list(0, 1);
     EXPECT_TRUE(rig.pass(ms(500)).empty());
     rig.sender.observe(AdminDisableEvent{0, true}, rig.now);
-    rig.sender.observe(AdminDisableEvent{0, false}, rig.now);  // one call ends it, however often it was made
+    // one event enables it, however often it was disabled
+    rig.sender.observe(AdminDisableEvent{0, false}, rig.now);
     EXPECT_EQ(rig.pass(ms(1000)).size(), 1u);
 }
 
-// Restarted meanwhile: what waits for it must not come at once.
-TEST(Ban, EndsInASlowReturn) {
-    const auto sent_within = [](bool banned) {
+// The endpoint may have restarted while it was disabled, so the waiting messages must not be sent all at
+// once.
+TEST(AdministrativeDisable, EndsInASlowStart) {
+    const auto sent_within = [](bool disabled) {
         Rig rig;
         rig.list(0, 1);
-        if (banned) rig.sender.observe(AdminDisableEvent{0, true}, rig.now);
+        if (disabled) rig.sender.observe(AdminDisableEvent{0, true}, rig.now);
         for (MessageId id = 1; id <= 30; ++id) rig.arrive(id, 1);
-        if (banned) rig.sender.observe(AdminDisableEvent{0, false}, rig.now);
+        if (disabled) rig.sender.observe(AdminDisableEvent{0, false}, rig.now);
         std::size_t count = 0;
         for (int i = 0; i < 50; ++i) {
             const auto sends = rig.sends();
@@ -46,20 +48,21 @@
     EXPECT_LE(sent_within(true), 15u);
 }
 
-// ---- one Sender in the place of another ----
+// ---- a Sender that replaces another ----
 
-// What `before` has learned, told to a fresh Sender that knows the same endpoint and holds the same messages.
-Rig taken_over(Rig& before, Settings settings, const std::vector<MessageId>& held) {
+// Returns a new Sender that has the same endpoint, holds the given messages and has observed the learned
+// state of `before`.
+Rig make_successor(Rig& before, Settings settings, const std::vector<MessageId>& held) {
     Rig after(std::move(settings));
     after.now = before.now;
     after.list(0, 1);
     for (const MessageId id : held) after.arrive(id, 1);
-    for (const LearnedState& one : before.sender.learned_state(before.now))
-        after.sender.observe(one, after.now);
+    for (const LearnedState& state : before.sender.learned_state(before.now))
+        after.sender.observe(state, after.now);
     return after;
 }
 
-TEST(Successor, HeedsAWaitThatTheOneBeforeWasTold) {
+TEST(Successor, ObservesTheRetryAfterOfItsPredecessor) {
     Rig before;
     before.list(0, 1);
     before.arrive(1, 1);
@@ -67,12 +70,12 @@
     ASSERT_EQ(sends.size(), 1u);
     before.outcome(sends[0], Outcome::Rejected, 0, ms(1500));
     before.decide();
-    Rig after = taken_over(before, make_settings(), {1});
+    Rig after = make_successor(before, make_settings(), {1});
     EXPECT_TRUE(after.pass(ms(1490)).empty());
     EXPECT_EQ(after.pass(ms(1000)).size(), 1u);
 }
 
-TEST(Successor, TakesAnOutageForOne) {
+TEST(Successor, KnowsOfAnOutage) {
     Rig before;
     before.list(0, 1);
     for (int i = 0; i < 6; ++i) {
@@ -82,23 +85,24 @@
     }
     std::vector<MessageId> held;
     for (MessageId id = 1; id <= 20; ++id) held.push_back(id);
-    Rig after = taken_over(before, make_settings(), held);
-    EXPECT_LE(after.sends().size(), 1u);  // a trial at most
+    Rig after = make_successor(before, make_settings(), held);
+    EXPECT_LE(after.sends().size(), 1u);  // one probe at most
     Rig unaware;
     unaware.list(0, 1);
     for (const MessageId id : held) unaware.arrive(id, 1);
     EXPECT_GT(unaware.sends().size(), 1u);
 }
 
-// The call is on another process's connection: its slot counts here, and its message is not sent beside it.
-TEST(Successor, CountsACallThatIsOutElsewhere) {
+// The call is on a connection of another process: it counts against max_calls here, and no second attempt of
+// its message starts while it is in flight.
+TEST(Successor, CountsAnInheritedCall) {
     Settings settings = make_settings();
     settings.max_calls = 1;
     Rig rig(settings);
     rig.list(0, 1);
-    MessageEvent out{1, 1, kRetryable, std::nullopt, std::nullopt, ms(20000)};
-    out.attempts = 2;
-    rig.sender.observe(out, rig.now);
+    MessageEvent inherited{1, 1, kRetryable, std::nullopt, std::nullopt, ms(20000)};
+    inherited.attempts = 2;
+    rig.sender.observe(inherited, rig.now);
     rig.arrive(2, 1);
     rig.sender.observe(InheritedCall{0, ms(50), {{1, 1}}}, rig.now);
     EXPECT_TRUE(rig.pass(ms(300)).empty());
@@ -108,8 +112,9 @@
     EXPECT_EQ(next[0].second.message, 2u);
 }
 
-// Its message has ended, and its endpoint is listed no more: the slot counts all the same until the outcome.
-TEST(Successor, CountsACallOfWhichNothingElseIsKnown) {
+// The message of the call has ended and its endpoint is no longer listed: the call still counts against
+// max_calls until its outcome.
+TEST(Successor, CountsAnInheritedCallOfAnUnknownMessageAndEndpoint) {
     Settings settings = make_settings();
     settings.max_calls = 1;
     Rig rig(settings);
@@ -122,23 +127,23 @@
     rig.pass(ms(3000), ms(100));
 }
 
-// ---- other settings ----
+// ---- changes of the settings ----
 
-TEST(NewSettings, HoldForNewMessagesAndNeverHalf) {
+TEST(NewSettings, ApplyToNewMessagesAndAllOrNothing) {
     Settings settings = make_settings();
     settings.max_calls = 1;
     Rig rig(settings);
     rig.list(0, 1);
-    rig.arrive(1, 1);  // may be repeated
+    rig.arrive(1, 1);  // retryable
     const auto first = rig.sends();
     ASSERT_EQ(first.size(), 1u);
     settings.classes = {make_class(DeliverySemantics::AtMostOnce)};
-    Settings senseless = settings;
-    senseless.max_attempts = 0;
-    EXPECT_THROW(rig.sender.observe(SettingsEvent{senseless}, rig.now), std::invalid_argument);
+    Settings invalid = settings;
+    invalid.max_attempts = 0;
+    EXPECT_THROW(rig.sender.observe(SettingsEvent{invalid}, rig.now), std::invalid_argument);
     rig.sender.observe(SettingsEvent{settings}, rig.now);
     rig.outcome(first[0], Outcome::TimedOut);
-    EXPECT_EQ(rig.pass(ms(2000)).size(), 1u);                       // message 1 again
+    EXPECT_EQ(rig.pass(ms(2000)).size(), 1u);                       // a retry of message 1
     EXPECT_THROW(rig.arrive(2, 1, kDedup), std::invalid_argument);  // there is one class now
     settings.kinds.clear();
     EXPECT_THROW(rig.sender.observe(SettingsEvent{settings}, rig.now), std::invalid_argument);
@@ -146,10 +151,11 @@
 
 // ---- endpoints that are listed again ----
 
-// By hand: told 3 s, gone 0.1 s later for 1.5 s, more than what has gone is looked for; 1.4 s are left then.
-TEST(ListedAgain, AnEndpointKeepsItsWait) {
+// Calculated by hand: the retry-after is 3 s. The endpoint is removed 0.1 s later for 1.5 s, which is longer
+// than the interval at which removed endpoints are examined, so 1.4 s are left when it is listed again.
+TEST(ListedAgain, AnEndpointKeepsItsRetryAfter) {
     Rig rig;
-    rig.list(0, 1, 1);  // a route apart: the wait is its own
+    rig.list(0, 1, 1);  // limits per endpoint: the retry-after applies to this endpoint only
     rig.arrive(1, 1);
     const auto first = rig.sends();
     ASSERT_EQ(first.size(), 1u);
@@ -162,16 +168,17 @@
     EXPECT_FALSE(rig.pass(ms(2000)).empty());
 }
 
-// It failed, went from the list as one that vanished does, and is back: cold, and known to have been out.
-TEST(ListedAgain, AnEndpointThatFailedIsNotStormed) {
+// The endpoint failed, was removed from the list and is listed again: it is cold, and its outage is still
+// known.
+TEST(ListedAgain, AnEndpointThatFailedIsNotOverloaded) {
     const auto sent_within = [](bool failed) {
         Rig rig;
-        std::map<MessageId, std::uint32_t> tries;
+        std::map<MessageId, std::uint32_t> attempts;
         rig.list(0, 1, 1);
         for (MessageId id = 101; failed && id <= 106; ++id) {
-            rig.arrive(id, 1, kRetryable, std::nullopt, ms(1500));  // none is in doubt later
+            rig.arrive(id, 1, kRetryable, std::nullopt, ms(1500));  // none stays ambiguous
             for (const Send& send : rig.sends())
-                rig.outcome(send, Outcome::ServerError, tries[send.message]++);
+                rig.outcome(send, Outcome::ServerError, attempts[send.message]++);
             rig.now += ms(200);
         }
         rig.list(0, 1, 1, 0.0, Condition::Removed);
@@ -184,11 +191,12 @@
     EXPECT_LE(sent_within(true), 1u);
 }
 
-// ---- calls whose connections come up late ----
+// ---- calls whose connections are slow to open ----
 
-// By hand: told 500 ms at its outcome, the route is shut to every call from then on, whenever it was decided.
-TEST(LateConnection, MayNotCarryWhatAWaitADrainOrABanHasForbidden) {
-    const auto begins_after = [](const auto& news) {
+// Calculated by hand: a retry-after of 500 ms applies from its outcome on to every call of the same limit,
+// also to calls that were decided before.
+TEST(LateConnection, StartsNoCallAfterARetryAfterADrainOrADisable) {
+    const auto may_start_after = [](const auto& change) {
         Rig rig;
         rig.list(0, 1);
         rig.arrive(1, 1);
@@ -196,26 +204,34 @@
         const auto sends = rig.sends();
         EXPECT_EQ(sends.size(), 2u);
         EXPECT_TRUE(rig.sender.may_start(2, 0, rig.now));
-        news(rig, sends[0]);
+        change(rig, sends[0]);
         return rig.sender.may_start(2, 0, rig.now);
     };
-    const auto wait = [](Rig& rig, const Send& first) { rig.outcome(first, Outcome::Rejected, 0, ms(500)); };
-    EXPECT_FALSE(begins_after(wait));
-    EXPECT_FALSE(begins_after([&](Rig& rig, const Send& first) { wait(rig, first), rig.now += ms(499); }));
-    EXPECT_TRUE(begins_after([&](Rig& rig, const Send& first) { wait(rig, first), rig.now += ms(500); }));
-    EXPECT_FALSE(begins_after([](Rig& rig, const Send&) { rig.list(0, 1, 0, 0.0, Condition::Draining); }));
-    EXPECT_FALSE(begins_after([](Rig& rig, const Send&) { rig.list(0, 1, 0, 0.0, Condition::Removed); }));
-    EXPECT_FALSE(begins_after([](Rig& rig, const Send&) {
+    const auto reject = [](Rig& rig, const Send& first) {
+        rig.outcome(first, Outcome::Rejected, 0, ms(500));
+    };
+    EXPECT_FALSE(may_start_after(reject));
+    EXPECT_FALSE(
+        may_start_after([&](Rig& rig, const Send& first) { reject(rig, first), rig.now += ms(499); }));
+    EXPECT_TRUE(
+        may_start_after([&](Rig& rig, const Send& first) { reject(rig, first), rig.now += ms(500); }));
+    EXPECT_FALSE(may_start_after([](Rig& rig, const Send&) { rig.list(0, 1, 0, 0.0, Condition::Draining); }));
+    EXPECT_FALSE(may_start_after([](Rig& rig, const Send&) { rig.list(0, 1, 0, 0.0, Condition::Removed); }));
+    EXPECT_FALSE(may_start_after([](Rig& rig, const Send&) {
         rig.sender.observe(AdminDisableEvent{0, true}, rig.now);
     }));
-    EXPECT_FALSE(begins_after([](Rig& rig, const Send&) { rig.sender.observe(AbandonedEvent{2}, rig.now); }));
-    EXPECT_FALSE(begins_after([](Rig& rig, const Send&) { rig.now += ms(20000); }));  // its time is up
-    EXPECT_TRUE(begins_after([](Rig& rig, const Send& first) { rig.outcome(first, Outcome::ServerError); }));
-}
-
-// A call with another destination's message voids all; those that are out go on counting where they are.
-TEST(LateConnection, MayNotCarryWhatIsOfADestinationThatItsEndpointHasLeft) {
-    Rig rig;  // eight slots: five calls to one destination
+    EXPECT_FALSE(
+        may_start_after([](Rig& rig, const Send&) { rig.sender.observe(AbandonedEvent{2}, rig.now); }));
+    // the deadline has passed
+    EXPECT_FALSE(may_start_after([](Rig& rig, const Send&) { rig.now += ms(20000); }));
+    EXPECT_TRUE(
+        may_start_after([](Rig& rig, const Send& first) { rig.outcome(first, Outcome::ServerError); }));
+}
+
+// The endpoint is listed for another destination: calls that were decided for the old one may not start, and
+// calls in flight still count for the endpoint.
+TEST(LateConnection, StartsNoCallForADestinationThatItsEndpointHasLeft) {
+    Rig rig;  // max_calls is 8: five calls to one destination
     rig.list(0, 1);
     for (MessageId id = 1; id <= 5; ++id) rig.arrive(id, 1);
     const auto sends = rig.sends();
@@ -224,14 +240,15 @@
     rig.list(0, 2);
     EXPECT_FALSE(rig.sender.may_start(1, 0, rig.now));
     rig.arrive(6, 2);
-    EXPECT_TRUE(rig.sends().empty());  // the endpoint has its five still
+    EXPECT_TRUE(rig.sends().empty());  // its five calls are still in flight
     for (const Send& send : sends) rig.outcome(send, Outcome::Delivered);
     rig.list(0, 1);
     for (MessageId id = 11; id <= 16; ++id) rig.arrive(id, 1);
     EXPECT_EQ(rig.sends().size(), 5u);  // as many as before
 }
 
-// With a single attempt allowed: what was withheld has had none, may be refused and goes out after the wait.
+// A single attempt is allowed: a withheld call is not counted as one, so the message is sent after a delay
+// and may still be refused.
 TEST(LateConnection, AWithheldCallIsNoAttempt) {
     Settings settings = make_settings();
     settings.max_attempts = 1;
@@ -241,20 +258,21 @@
     const auto first = rig.sends();
     ASSERT_EQ(first.size(), 1u);
     rig.outcome(first[0], Outcome::Withheld);
-    const auto again = rig.pass(ms(1000));
-    ASSERT_EQ(again.size(), 1u);
-    EXPECT_EQ(again[0].second.message, 1u);
-    EXPECT_GT(again[0].first - rig.now + ms(1000), Time(0));  // never at once: no spinning
-    rig.outcome(again[0].second, Outcome::Rejected);
+    const auto retries = rig.pass(ms(1000));
+    ASSERT_EQ(retries.size(), 1u);
+    EXPECT_EQ(retries[0].second.message, 1u);
+    EXPECT_GT(retries[0].first - rig.now + ms(1000), Time(0));  // not at once, which would be a busy loop
+    rig.outcome(retries[0].second, Outcome::Rejected);
     EXPECT_EQ(all<Refuse>(rig.decide()).size(), 1u);
 }
 
-// ---- tags ----
+// ---- mClock tags ----
 
-// One slot, weights 1 and 0.5, a call every 0.7 s. By hand, in seconds from the start: both level at -2;
-// serving 1 gives P1 = max(P1 + 1, now - 1), serving 2 gives P2 = max(P2 + 2, now - 2). That is 1 (P1 -1), 2
-// (P2 0), 1 (0.4), 2 (2), 1 (1.8), 1 (2.8), 2 (4), 1 (3.9), 1 (4.9); the L tags are due each time.
-TEST(Tags, ShareFollowsListedRates) {
+// One call at a time, weights 1 and 0.5, a call every 0.7 s. Calculated by hand, in seconds from the start:
+// both P tags begin at -2; serving 1 gives P1 = max(P1 + 1, now - 1), serving 2 gives P2 = max(P2 + 2, now -
+// 2). That is 1 (P1 -1), 2 (P2 0), 1 (0.4), 2 (2), 1 (1.8), 1 (2.8), 2 (4), 1 (3.9), 1 (4.9); the L tags are
+// due each time.
+TEST(MClockTags, SharesFollowListedRates) {
     Settings settings = make_settings();
     settings.max_calls = 1;
     settings.listed_rates = true;
@@ -265,17 +283,18 @@
     for (MessageId id = 11; id <= 19; ++id) rig.arrive(id, 2);
     Ids order;
     for (int i = 0; i < 9; ++i) {
-        const auto out = rig.sends();
-        ASSERT_EQ(out.size(), 1u);
-        order.push_back(out[0].message < 10 ? 1 : 2);
+        const auto sends = rig.sends();
+        ASSERT_EQ(sends.size(), 1u);
+        order.push_back(sends[0].message < 10 ? 1 : 2);
         rig.now += ms(700);
-        rig.outcome(out[0], Outcome::Delivered, 0, Time(0), ms(700));
+        rig.outcome(sends[0], Outcome::Delivered, 0, Time(0), ms(700));
     }
     EXPECT_EQ(order, (Ids{1, 2, 1, 2, 1, 1, 2, 1, 1}));
 }
 
-// For a lone sender l is the whole listed rate: by hand L = now, now+1/l, ... from the arrival on.
-TEST(Tags, LimitSpacesSends) {
+// With a single sender l is the whole listed rate. Calculated by hand, L = now, now+1/l, ... from the arrival
+// on.
+TEST(MClockTags, LimitSpacesSends) {
     Settings settings = make_settings();
     settings.listed_rates = true;
     Rig rig(settings);
@@ -292,11 +311,11 @@
     EXPECT_LT(first_gap, ms(1000));
 }
 
-// By hand, in seconds from the start, r = 1, weights 1000 and 2, 0.3 s a call. R1 = R2 = 0: 1 goes, R1 = 1;
-// then 2 by its R tag although P1 = -0.001 is far behind in share terms (R2 = 1.3, P2 = 0); then shares: 1 at
-// 0.6 (P1 = 0.599, and R1 stays 1), 2 at 0.9 (P2 = 0 is the smaller, R2 stays 1.3); then R1 = 1 is due
-// at 1.2.
-TEST(Tags, ReservationPhaseGoesFirst) {
+// Calculated by hand, in seconds from the start, with r = 1, weights 1000 and 2, and 0.3 s a call. R1 = R2 =
+// 0: 1 is sent, R1 = 1; then 2 by its R tag, whatever P1 = -0.001 is (R2 = 1.3, P2 = 0);
+// then by P tag: 1 at 0.6 (P1 = 0.599, and R1 stays 1), 2 at 0.9 (P2 = 0 is the smaller, R2 stays 1.3); then
+// R1 = 1 is due at 1.2.
+TEST(MClockTags, ReservationPhaseComesFirst) {
     Settings settings = make_settings();
     settings.max_calls = 1;
     settings.reservation_per_s = 1.0;
@@ -309,64 +328,65 @@
     for (MessageId id = 11; id <= 14; ++id) rig.arrive(id, 2);
     Ids order;
     for (int i = 0; i < 12; ++i) {
-        const auto out = rig.sends();
-        if (out.empty()) {
+        const auto sends = rig.sends();
+        if (sends.empty()) {
             rig.now += ms(300);
             continue;
         }
-        order.push_back(out[0].message);
+        order.push_back(sends[0].message);
         rig.now += ms(300);
-        rig.outcome(out[0], Outcome::Delivered);
+        rig.outcome(sends[0], Outcome::Delivered);
     }
     ASSERT_GE(order.size(), 5u);
     order.resize(5);
     EXPECT_EQ(order, (Ids{1, 11, 2, 12, 3}));
 }
 
-TEST(Tags, ArrivalOrderWithinDestination) {
+TEST(MClockTags, ArrivalOrderWithinDestination) {
     Rig rig;
     rig.list(0, 1);
     for (MessageId id = 5; id > 0; --id) rig.arrive(id, 1);
     EXPECT_EQ(rig.sent(), (Ids{5, 4, 3, 2, 1}));
 }
 
-// A newcomer after long idleness starts level and does not burst ahead of the one that was busy.
-TEST(Tags, ReactivationStartsLevel) {
+// A destination that becomes active after a long idle time starts with the tags of the busy one and gets no
+// burst.
+TEST(MClockTags, AnIdleDestinationStartsWithEqualTags) {
     Settings settings = make_settings();
     settings.max_calls = 2;
     Rig rig(settings);
     rig.list(0, 1);
     rig.list(1, 2);
     for (MessageId id = 1; id <= 20; ++id) rig.arrive(id, 1);
-    auto out = rig.sends();
+    auto sends = rig.sends();
     for (int i = 0; i < 5; ++i) {
         rig.now += ms(1000);
-        rig.outcome(out[0], Outcome::Delivered);
-        out = rig.sends();
-        ASSERT_EQ(out.size(), 1u);
+        rig.outcome(sends[0], Outcome::Delivered);
+        sends = rig.sends();
+        ASSERT_EQ(sends.size(), 1u);
     }
     for (MessageId id = 101; id <= 110; ++id) rig.arrive(id, 2);
-    out = {out[0]};
+    sends = {sends[0]};
     const auto second = rig.sends();
     ASSERT_EQ(second.size(), 1u);
     EXPECT_EQ(second[0].message, 101u);
-    int newcomer = 0;
-    std::vector<Send> busy{out[0], second[0]};
+    int reactivated = 0;
+    std::vector<Send> busy{sends[0], second[0]};
     for (int i = 0; i < 8; ++i) {
         rig.now += ms(1000);
         rig.outcome(busy[0], Outcome::Delivered);
         busy.erase(busy.begin());
         const auto next = rig.sends();
         ASSERT_EQ(next.size(), 1u);
-        newcomer += next[0].message > 100;
+        reactivated += next[0].message > 100;
         busy.push_back(next[0]);
     }
-    EXPECT_EQ(newcomer, 4);
+    EXPECT_EQ(reactivated, 4);
 }
 
-// l = 1, so L = 1 after the first send. The stall ends at 5 with both L tags behind: the head may go, and for
-// L = max(2, 5) = 5 the next at once, then L = 6; the rest of the backlog is not released.
-TEST(Tags, AfterAStallTheBacklogIsNotReleasedAtOnce) {
+// l = 1, so L = 1 after the first send. The stall ends at 5 with both L tags in the past: the head may be
+// sent, and as L = max(2, 5) = 5 the next one at once, then L = 6; the rest of the backlog is not released.
+TEST(MClockTags, TheBacklogIsNotReleasedAtOnceAfterAStall) {
     Settings settings = make_settings();
     settings.listed_rates = true;
     Rig rig(settings);
@@ -383,9 +403,10 @@
     EXPECT_EQ(rig.pass(ms(40)).size(), 1u);
 }
 
-// Two answers that come together are no rate of fifty a second: where a sender sees a call now and then, what
-// it holds takes long, and the message goes first that loses most by waiting.
-TEST(Tags, ABacklogIsJudgedByWhatIsServedOverSeconds) {
+// Two responses in quick succession must not be taken for a service rate of fifty a second. A sender that
+// makes only occasional calls needs long for its backlog, so the message that loses most utility by waiting
+// is sent first.
+TEST(MClockTags, ABacklogIsMeasuredByTheServiceRateOverSeconds) {
     Settings settings = make_settings();
     settings.max_calls = 1;
     settings.instance_count = 100;
@@ -395,14 +416,14 @@
     rig.list(0, 1);
     for (MessageId id = 1; id <= 2; ++id) {
         rig.arrive(id, 1);
-        const auto out = rig.sends();
-        ASSERT_EQ(out.size(), 1u);
+        const auto sends = rig.sends();
+        ASSERT_EQ(sends.size(), 1u);
         rig.now += ms(20);
-        rig.outcome(out[0], Outcome::Delivered, 0, Time(0), ms(20));
+        rig.outcome(sends[0], Outcome::Delivered, 0, Time(0), ms(20));
     }
     rig.list(1, 2);
     rig.arrive(3, 2);
-    const auto busy = rig.sends();  // the only slot
+    const auto busy = rig.sends();  // the only call allowed
     ASSERT_EQ(busy.size(), 1u);
     for (MessageId id = 4; id <= 9; ++id) rig.arrive(id, 1);
     rig.now += ms(4500);
@@ -411,8 +432,8 @@
     EXPECT_EQ(rig.sent(), Ids{10});
 }
 
-// Weak spot: repeats of an erroring destination must not take the turns of the others.
-TEST(Tags, RepeatsLeaveTheTurnsToOthers) {
+// Retries to a destination that returns errors must not use the share of the other destinations.
+TEST(MClockTags, RetriesDoNotUseTheShareOfOthers) {
     Settings settings = make_settings();
     settings.max_calls = 1;
     Rig rig(settings);
@@ -420,66 +441,68 @@
     rig.list(1, 2);
     for (MessageId id = 1; id <= 9; ++id) rig.arrive(id, 1);
     for (MessageId id = 11; id <= 19; ++id) rig.arrive(id, 2);
-    std::map<MessageId, std::uint32_t> tries;
+    std::map<MessageId, std::uint32_t> attempts;
     int failing = 0, healthy = 0;
     for (int i = 0; i < 400 && healthy < 9; ++i, rig.now += ms(10)) {
         for (const Send& send : rig.sends()) {
-            const bool bad = send.message < 10;
-            (bad ? failing : healthy)++;
-            rig.outcome(send, bad ? Outcome::ServerError : Outcome::Delivered, tries[send.message]++, Time(0),
-                ms(10));
+            const bool fails = send.message < 10;
+            (fails ? failing : healthy)++;
+            rig.outcome(send, fails ? Outcome::ServerError : Outcome::Delivered, attempts[send.message]++,
+                Time(0), ms(10));
         }
     }
     EXPECT_EQ(healthy, 9);
     EXPECT_LE(failing, 4);
 }
 
-TEST(Cap, UnderThreeQuartersOfTheSlots) {
-    Rig rig;  // 8 slots: five calls stay under 3/4, six would not
+TEST(CallLimit, OneDestinationStaysUnderThreeQuartersOfTheCalls) {
+    Rig rig;  // max_calls is 8: five calls are less than 3/4, six are not
     rig.list(0, 1);
     for (MessageId id = 1; id <= 8; ++id) rig.arrive(id, 1);
     EXPECT_EQ(rig.sent().size(), 5u);
 }
 
-TEST(Cap, SickDestinationsTogetherHoldHalf) {
+TEST(CallLimit, UnhealthyDestinationsTogetherUseHalf) {
     Rig rig;
     for (EndpointId id = 0; id < 6; ++id) rig.list(id, id);
     MessageId next = 1;
     for (int i = 0; i < 6; ++i) rig.arrive(next++, i);
     EXPECT_EQ(rig.sends().size(), 6u);
-    const auto trials =
-        rig.pass(ms(8000));  // all silent: sick; the held messages may use half of the slots at most
+    // none responds, so all are unhealthy, and together they may use half of max_calls at most
+    const auto probes = rig.pass(ms(8000));
     for (int i = 0; i < 6; ++i) rig.arrive(next++, i);
-    EXPECT_TRUE(trials.empty());
+    EXPECT_TRUE(probes.empty());
     EXPECT_TRUE(rig.sends().empty());
     rig.list(9, 9);
     rig.arrive(99, 9);
     EXPECT_EQ(rig.sent(), Ids{99});
 }
 
-// A fee falls due for each message that a route takes on; the zone that the sender stands in costs nothing.
-TEST(Choice, TheCheaperRouteGoesBeforeTheOwnZone) {
-    for (const bool fees : {true, false}) {
+// Each message costs the zone cost of the endpoint that it is sent to, and the sender's own zone adds no
+// cost. Without zone costs the sender's own zone is preferred.
+TEST(EndpointChoice, ALowerZoneCostComesBeforeTheOwnZone) {
+    for (const bool zone_costs : {true, false}) {
         Settings settings = make_settings();
-        if (fees) settings.zone_costs = {0.06, 0.0};
+        if (zone_costs) settings.zone_costs = {0.06, 0.0};
         Rig rig(settings);
         rig.list(0, 1, 1, 0.0, Condition::Ready, 0);
         rig.list(1, 1, 1, 0.0, Condition::Ready, 1);
         rig.arrive(1, 1);
-        const auto out = rig.sends();
-        ASSERT_EQ(out.size(), 1u);
-        EXPECT_EQ(out[0].endpoint, fees ? 1u : 0u);
+        const auto sends = rig.sends();
+        ASSERT_EQ(sends.size(), 1u);
+        EXPECT_EQ(sends[0].endpoint, zone_costs ? 1u : 0u);
     }
 }
 
-// ticket3928: a route that is down takes no slots from the routes beside it, which take over its messages.
-TEST(Cap, ASickRouteDoesNotHoldBackTheOnesBesideIt) {
-    Rig rig;  // 8 slots
+// ticket3928: an endpoint in an outage must not reduce the calls allowed to the other endpoints of its
+// destination, which get its messages.
+TEST(CallLimit, AnUnhealthyEndpointDoesNotLimitTheOthersOfItsDestination) {
+    Rig rig;  // max_calls is 8
     for (DestinationId destination = 0; destination < 4; ++destination)
-        for (EndpointId side = 0; side < 2; ++side)
-            rig.list(static_cast<EndpointId>(2 * destination) + side, destination, 1);
+        for (EndpointId index = 0; index < 2; ++index)
+            rig.list(static_cast<EndpointId>(2 * destination) + index, destination, 1);
     MessageId next = 1;
-    for (int i = 0; i < 4; ++i) {  // both routes of each, one after the other; one is dead
+    for (int i = 0; i < 4; ++i) {  // to both endpoints of each destination in turn; one of them fails
         for (DestinationId destination = 0; destination < 4; ++destination) rig.arrive(next++, destination);
         for (DestinationId destination = 0; destination < 4; ++destination) rig.arrive(next++, destination);
         for (const Send& send : rig.sends())
@@ -487,21 +510,22 @@
                 rig.outcome(
                     send, send.endpoint % 2 == 0 ? Outcome::ServerError : Outcome::Delivered, attempt);
     }
-    for (int i = 0; i < 40 && rig.now < ms(1'020'000); ++i)  // until all is served beside the dead routes
+    // until the healthy endpoints have received all messages
+    for (int i = 0; i < 40 && rig.now < ms(1'020'000); ++i)
         for (const auto& [at, send] : rig.pass(ms(200)))
             for (std::uint32_t attempt = 0; attempt < 4; ++attempt)
                 rig.outcome(
                     send, send.endpoint % 2 == 0 ? Outcome::ServerError : Outcome::Delivered, attempt);
     for (DestinationId destination = 0; destination < 4; ++destination)
         for (int i = 0; i < 2; ++i) rig.arrive(next++, destination);
-    std::size_t well = 0;
-    for (const Send& send : rig.sends()) well += send.endpoint % 2;
-    EXPECT_GE(well, 6u);  // with the dead ones' half of the slots it would be four
+    std::size_t to_healthy = 0;
+    for (const Send& send : rig.sends()) to_healthy += send.endpoint % 2;
+    EXPECT_GE(to_healthy, 6u);  // four if the half for unhealthy destinations applied
 }
 
-// ---- rules ----
+// ---- deadlines, retries and order ----
 
-TEST(Answers, EndsAtTheDeadlineHeldOrOut) {
+TEST(Deadline, EndsMessagesWaitingOrInFlight) {
     Rig rig;
     rig.list(0, 1);
     rig.arrive(1, 1, kFragile, std::nullopt, ms(500));
@@ -513,7 +537,7 @@
     EXPECT_EQ(all<Fail>(rig.decide()).size(), 2u);
 }
 
-TEST(Answers, AsksForATimerAtTheDeadline) {
+TEST(Deadline, SetsATimer) {
     Rig rig;
     rig.arrive(1, 7, kRetryable, std::nullopt, ms(500));
     const auto timers = all<SetTimer>(rig.decide());
@@ -521,37 +545,37 @@
     EXPECT_EQ(timers[0].delay, ms(500));
 }
 
-TEST(Effects, FragileEndsAfterDoubtWithAFailure) {
+TEST(Delivery, AtMostOnceFailsAfterAnAmbiguousAttempt) {
     Rig rig;
     rig.list(0, 1);
     rig.arrive(1, 1, kFragile);
-    const auto out = rig.sends();
+    const auto sends = rig.sends();
     rig.now += ms(100);
-    rig.outcome(out[0], Outcome::ServerError);
+    rig.outcome(sends[0], Outcome::ServerError);
     const auto actions = rig.decide();
     EXPECT_EQ(all<Fail>(actions).size(), 1u);
     EXPECT_TRUE(all<Refuse>(actions).empty());
 }
 
-TEST(Effects, FragileGoesAgainAfterProvenNotRun) {
+TEST(Delivery, AtMostOnceIsRetriedIfItProvablyDidNotRun) {
     Rig rig;
     rig.list(0, 1);
     rig.arrive(1, 1, kFragile);
-    const auto out = rig.sends();
+    const auto sends = rig.sends();
     rig.now += ms(100);
-    rig.outcome(out[0], Outcome::Rejected);
+    rig.outcome(sends[0], Outcome::Rejected);
     EXPECT_EQ(rig.pass(ms(500)).size(), 1u);
 }
 
-TEST(Effects, DedupOnlyInsideItsWindowFromTheSend) {
+TEST(Delivery, DeduplicatedIsRetriedOnlyWithinItsWindowFromTheSend) {
     for (const bool inside : {true, false}) {
         Rig rig;
         rig.list(0, 1);
         rig.list(1, 1);
         rig.arrive(1, 1, kDedup);
-        const auto out = rig.sends();
+        const auto first_sends = rig.sends();
         rig.now += inside ? ms(4700) : ms(4950);
-        rig.outcome(out[0], Outcome::ConnectionLost);
+        rig.outcome(first_sends[0], Outcome::ConnectionLost);
         int sends = 0, ends = 0;
         for (int i = 0; i < 30; ++i, rig.now += ms(10)) {
             const auto actions = rig.decide();
@@ -563,21 +587,21 @@
     }
 }
 
-TEST(Effects, DedupZoneScopeStaysInItsZone) {
+TEST(Delivery, DeduplicatedWithZoneScopeStaysInItsZone) {
     Settings settings = make_settings();
     settings.classes[kDedup].dedup_scope = DedupScope::Zone;
     Rig rig(settings);
     rig.list(0, 1);
     rig.arrive(1, 1, kDedup);
-    const auto out = rig.sends();
+    const auto sends = rig.sends();
     rig.list(1, 1, 0, 0.0, Condition::Ready, 1);
     rig.list(0, 1, 0, 0.0, Condition::Removed);
     rig.now += ms(100);
-    rig.outcome(out[0], Outcome::ServerError);
+    rig.outcome(sends[0], Outcome::ServerError);
     EXPECT_TRUE(rig.pass(ms(3000)).empty());
 }
 
-TEST(Effects, StopsAtMaxAttempts) {
+TEST(Delivery, RetriesStopAtMaxAttempts) {
     Rig rig;
     rig.list(0, 1);
     rig.arrive(1, 1);
@@ -592,7 +616,7 @@
     EXPECT_EQ(ends, 1);
 }
 
-TEST(Drains, NothingToDrainingOrGone) {
+TEST(EndpointListUpdates, NothingIsSentToDrainingOrRemovedEndpoints) {
     for (const Condition condition : {Condition::Draining, Condition::Removed}) {
         Rig rig;
         rig.list(0, 1);
@@ -604,7 +628,7 @@
     }
 }
 
-TEST(Drains, AWholeListReplacesTheOldOne) {
+TEST(EndpointListUpdates, AFullListReplacesTheOldOne) {
     Rig rig;
     rig.list(0, 1);
     rig.sender.observe(ListEvent{ListUpdateKind::Full, {{1, 2, 0, 0, 0.0, Condition::Ready}}}, rig.now);
@@ -613,48 +637,48 @@
     EXPECT_EQ(rig.sent(), Ids{2});
 }
 
-TEST(Waits, ToldWaitIsKeptForTheWholeDestination) {
+TEST(RetryAfter, AppliesToTheWholeDestination) {
     Rig rig;
     rig.list(0, 1);
     rig.list(1, 1);
     rig.arrive(1, 1);
-    const auto out = rig.sends();
-    rig.outcome(out[0], Outcome::Rejected, 0, ms(700));
+    const auto sends = rig.sends();
+    rig.outcome(sends[0], Outcome::Rejected, 0, ms(700));
     rig.arrive(2, 1);
     EXPECT_TRUE(rig.pass(ms(690)).empty());
     EXPECT_EQ(rig.pass(ms(300)).size(), 2u);
 }
 
-TEST(Waits, OfARouteApartBindsThatRouteOnly) {
+TEST(RetryAfter, AppliesToOneEndpointWithLimitsPerEndpoint) {
     Rig rig;
     rig.list(0, 1, 1);
     rig.list(1, 1, 1);
     rig.arrive(1, 1);
-    const auto out = rig.sends();
-    rig.outcome(out[0], Outcome::Rejected, 0, ms(700));
+    const auto sends = rig.sends();
+    rig.outcome(sends[0], Outcome::Rejected, 0, ms(700));
     rig.arrive(2, 1);
     const auto next = rig.sends();
     ASSERT_EQ(next.size(), 1u);
-    EXPECT_NE(next[0].endpoint, out[0].endpoint);
+    EXPECT_NE(next[0].endpoint, sends[0].endpoint);
 }
 
-// Found on the standard days: each message of one call may be told its own wait, the longest binds.
-TEST(Waits, EveryMessageOfACallIsHeard) {
+// Each message of one call may get a retry-after of its own, and the longest one applies.
+TEST(RetryAfter, TheLongestOfACallApplies) {
     Rig rig;
     rig.list(0, 1, 2);
     for (MessageId id = 1; id <= 3; ++id) rig.arrive(id, 1);
-    const auto out = rig.sends();
-    ASSERT_EQ(out.size(), 3u);
-    rig.outcome(out[0], Outcome::Rejected, 0, ms(300));
-    rig.outcome(out[1], Outcome::Rejected, 0, ms(600));
-    rig.outcome(out[2], Outcome::Rejected, 0, ms(400));
+    const auto sends = rig.sends();
+    ASSERT_EQ(sends.size(), 3u);
+    rig.outcome(sends[0], Outcome::Rejected, 0, ms(300));
+    rig.outcome(sends[1], Outcome::Rejected, 0, ms(600));
+    rig.outcome(sends[2], Outcome::Rejected, 0, ms(400));
     EXPECT_TRUE(rig.pass(ms(590)).empty());
     EXPECT_FALSE(rig.pass(ms(200)).empty());
 }
 
-// After a restart nothing is known of what destinations take, and all that waits may seem worth nothing: the
-// one that comes is refused, not one that was taken on.
-TEST(Overload, WhatARestartFoundIsKeptBeforeWhatComes) {
+// After a restart the capacity of the destinations is unknown, and all waiting messages may seem to have no
+// utility: the new message must be refused then, not one that was accepted before.
+TEST(Overload, MessagesAcceptedBeforeARestartAreKeptRatherThanNewOnes) {
     Settings settings = make_settings();
     settings.instance_count = 300;
     settings.max_held_messages = 10;
@@ -667,21 +691,21 @@
     EXPECT_EQ(refused[0].message, 10u);
 }
 
-TEST(Order, OneAtATimeInArrivalOrder) {
+TEST(SequentialMessages, OneAtATimeInArrivalOrder) {
     Rig rig;
     rig.list(0, 1);
     rig.arrive(1, 1, kSequential, 42);
     rig.arrive(2, 1, kSequential, 42);
     rig.arrive(3, 1, kSequential, 43);
-    const auto out = rig.sends();
-    ASSERT_EQ(out.size(), 2u);
-    EXPECT_EQ(out[0].message, 1u);
-    EXPECT_EQ(out[1].message, 3u);
-    rig.outcome(out[0], Outcome::Delivered);
+    const auto sends = rig.sends();
+    ASSERT_EQ(sends.size(), 2u);
+    EXPECT_EQ(sends[0].message, 1u);
+    EXPECT_EQ(sends[1].message, 3u);
+    rig.outcome(sends[0], Outcome::Delivered);
     EXPECT_EQ(rig.sent(), Ids{2});
 }
 
-TEST(Order, TheNextWaitsUntilThePlatformHasHeardOfAnEnd) {
+TEST(SequentialMessages, TheNextWaitsUntilThePlatformHasTheNotice) {
     Rig rig;
     rig.arrive(1, 1, kSequential, 42, ms(1000));
     rig.arrive(2, 1, kSequential, 42);
@@ -693,7 +717,7 @@
     EXPECT_EQ(rig.sent(), (std::vector<MessageId>{2}));
 }
 
-TEST(Order, RestsAfterARestartForWhatMayStillRun) {
+TEST(SequentialMessages, AKeyRestsAfterARestartWhileAnAttemptMayStillRun) {
     Rig rig;
     MessageEvent first{1, 1, kSequential, std::nullopt, 42, ms(20000)};
     first.attempts = 1;
@@ -701,28 +725,29 @@
     rig.list(1, 1);
     rig.sender.observe(first, rig.now);
     rig.arrive(2, 1, kSequential, 42);
-    rig.sender.observe(AbandonedEvent{1}, rig.now);  // withdrawn, and it may run on
+    rig.sender.observe(AbandonedEvent{1}, rig.now);  // abandoned, but it may still run
     EXPECT_TRUE(rig.sends().empty());
     rig.now += ms(310);
     EXPECT_EQ(rig.sent(), (std::vector<MessageId>{2}));
 }
 
-TEST(Order, RestsAfterADoubtfulEnd) {
+TEST(SequentialMessages, AKeyRestsAfterAnAmbiguousOutcome) {
     Rig rig;
     rig.list(0, 1);
     rig.arrive(1, 1, kSequential, 42, ms(1000));
     rig.arrive(2, 1, kSequential, 42);
-    const auto out = rig.sends();
-    ASSERT_EQ(out.size(), 1u);
+    const auto sends = rig.sends();
+    ASSERT_EQ(sends.size(), 1u);
     rig.now += ms(1000);
-    EXPECT_TRUE(rig.sends().empty());  // the first is given up, its attempt has no outcome yet
-    rig.outcome(out[0], Outcome::TimedOut);
+    EXPECT_TRUE(rig.sends().empty());  // the first has failed, but its attempt has no outcome yet
+    rig.outcome(sends[0], Outcome::TimedOut);
     EXPECT_TRUE(rig.pass(ms(290)).empty());
     EXPECT_EQ(rig.pass(ms(3000)).size(), 1u);
 }
 
-// After an outage the sends of any window stay within multiple x present capacity x window x the own part.
-TEST(FailBack, SendsStayWithinTheBudget) {
+// After an outage the sends of any window stay within multiple x current capacity x window x the share of
+// this sender.
+TEST(SlowStart, SendsStayWithinTheOverloadLimit) {
     Settings settings = make_settings();
     settings.listed_rates = true;
     settings.instance_count = 2;
@@ -731,14 +756,14 @@
     MessageId next = 1;
     for (int i = 0; i < 60; ++i) rig.arrive(next++, 1);
     std::vector<Time> sent;
-    std::map<MessageId, std::uint32_t> tries;
-    const Time back = rig.now + ms(5000);
-    while (rig.now < back + ms(8000)) {
+    std::map<MessageId, std::uint32_t> attempts;
+    const Time recovered_at = rig.now + ms(5000);
+    while (rig.now < recovered_at + ms(8000)) {
         rig.now += ms(10);
         for (const Send& send : rig.sends()) {
-            if (rig.now >= back) sent.push_back(rig.now);
-            rig.outcome(send, rig.now < back ? Outcome::ConnectionLost : Outcome::Delivered,
-                tries[send.message]++, Time(0), ms(10));
+            if (rig.now >= recovered_at) sent.push_back(rig.now);
+            rig.outcome(send, rig.now < recovered_at ? Outcome::ConnectionLost : Outcome::Delivered,
+                attempts[send.message]++, Time(0), ms(10));
             rig.arrive(next++, 1);
         }
     }
@@ -747,29 +772,29 @@
         const auto in_window = std::count_if(sent.begin(), sent.end(),
             [&](Time at) { return at >= sent[i] && at < sent[i] + settings.overload_window; });
         const double warm =
-            std::min(1.0, 0.2 + 0.8 * static_cast<double>((sent[i] - back + ms(2000)).count()) / 1e7);
+            std::min(1.0, 0.2 + 0.8 * static_cast<double>((sent[i] - recovered_at + ms(2000)).count()) / 1e7);
         EXPECT_LE(static_cast<double>(in_window), 2.0 * warm * 20.0 * 2.0 / 2.0 + 1.0);
     }
 }
 
 // ---- health and overload ----
 
-TEST(Health, SilenceShowsBeforeAnyTimeOut) {
+TEST(Health, AnEndpointThatStopsRespondingIsUnhealthyBeforeAnyTimeout) {
     Rig rig;
     rig.list(0, 1);
     rig.arrive(1, 1);
-    auto out = rig.sends();
+    auto sends = rig.sends();
     rig.now += ms(100);
-    rig.outcome(out[0], Outcome::Delivered);
+    rig.outcome(sends[0], Outcome::Delivered);
     rig.arrive(2, 1);
     EXPECT_EQ(rig.sends().size(), 1u);
-    rig.pass(ms(800));  // eight usual times without an answer
+    rig.pass(ms(800));  // eight typical latencies without a response
     rig.arrive(3, 1, kFragile);
     EXPECT_TRUE(rig.sends().empty());
 }
 
-// Incident i02431b: a destination that is down must not fill the room of the others.
-TEST(Overload, ShedsForTheDestinationThatIsDown) {
+// Incident i02431b: messages to a destination in an outage must not use the memory of the other destinations.
+TEST(Overload, RefusesMessagesToTheDestinationInAnOutage) {
     Settings settings = make_settings();
     settings.max_held_messages = 20;
     Rig rig(settings);
@@ -794,8 +819,8 @@
     for (const MessageId id : refused) EXPECT_LT(id, 100u);
 }
 
-// A repeat whose connection takes long to come up must not begin once its window has closed.
-TEST(Repeats, OfAKeyedMessageAreBoundByItsWindow) {
+// A retry whose connection is slow to open must not start after the end of its deduplication window.
+TEST(Retries, OfADeduplicatedMessageStartWithinItsWindow) {
     Rig rig;
     rig.list(0, 1);
     rig.arrive(1, 1, kDedup);
@@ -804,42 +829,42 @@
         EXPECT_FALSE(send.start_within) << send.message;
         rig.outcome(send, Outcome::ServerError);
     }
-    const Time first = rig.now;
-    const auto again = rig.pass(ms(3000));
-    ASSERT_EQ(again.size(), 2u);
-    for (const auto& [at, send] : again) {
+    const Time first_sent_at = rig.now;
+    const auto retries = rig.pass(ms(3000));
+    ASSERT_EQ(retries.size(), 2u);
+    for (const auto& [at, send] : retries) {
         EXPECT_EQ(send.start_within.has_value(), send.message == 1u);
-        EXPECT_EQ(at + send.start_within.value_or(first + ms(4900) - at), first + ms(4900));
+        EXPECT_EQ(at + send.start_within.value_or(first_sent_at + ms(4900) - at), first_sent_at + ms(4900));
     }
 }
 
-// Incident ife484d: a call that is only slow is left out while nothing better can be done.
-TEST(TimeOuts, ASlowCallIsNotRepeatedWithoutReason) {
+// Incident ife484d: a call that is only slow must not be cancelled while no better choice exists.
+TEST(Timeouts, ASlowCallIsNotCancelledWithoutReason) {
     Rig rig;
     rig.list(0, 1);
     rig.arrive(1, 1);
-    const auto out = rig.sends();
-    ASSERT_EQ(out.size(), 1u);
-    EXPECT_EQ(out[0].timeout, ms(20000));
+    const auto sends = rig.sends();
+    ASSERT_EQ(sends.size(), 1u);
+    EXPECT_EQ(sends[0].timeout, ms(20000));
     for (int i = 0; i < 100; ++i, rig.now += ms(100)) EXPECT_TRUE(all<CancelAttempt>(rig.decide()).empty());
 }
 
-// Incident i94fd2c: while the backlog outlasts an aim, what loses most by waiting goes before what keeps its
-// worth.
-TEST(Overload, WorthBeforeOrderOnlyWhileTheBacklogOutlastsAnAim) {
+// Incident i94fd2c: while the backlog takes longer than a target latency, messages that lose most utility by
+// waiting are sent before messages that keep theirs.
+TEST(Overload, UtilityComesBeforeOrderOnlyWhileTheBacklogExceedsATargetLatency) {
     for (const bool backlog : {false, true}) {
         Settings settings = make_settings();
         settings.max_calls = 2;
         settings.late_decay = LateDecay::Halving;
-        settings.classes[kDedup].late_utility = 1.0;  // keeps all its worth
+        settings.classes[kDedup].late_utility = 1.0;  // keeps all its utility
         Rig rig(settings);
         rig.list(0, 1);
         for (MessageId id = 1; id <= 3; ++id) {  // two a second
             rig.arrive(id, 1);
-            const auto out = rig.sends();
-            ASSERT_EQ(out.size(), 1u);
+            const auto sends = rig.sends();
+            ASSERT_EQ(sends.size(), 1u);
             rig.now += ms(500);
-            rig.outcome(out[0], Outcome::Delivered, 0, Time(0), ms(500));
+            rig.outcome(sends[0], Outcome::Delivered, 0, Time(0), ms(500));
         }
         for (MessageId id = 4; id < (backlog ? 12u : 5u); ++id) rig.arrive(id, 1, kDedup);
         rig.arrive(50, 1, kRetryable);
@@ -847,69 +872,74 @@
     }
 }
 
-// One call to each of so many destinations, none answered for six seconds: how many are dropped.
-std::size_t dropped_when_silent(std::size_t destinations, std::size_t message_class) {
-    Rig rig;  // 8 slots
+// Sends one call to each destination, none of which responds for six seconds. Returns the number of cancelled
+// calls.
+std::size_t cancelled_without_response(std::size_t destinations, std::size_t message_class) {
+    Rig rig;  // max_calls is 8
     for (EndpointId id = 0; id < destinations; ++id) {
         rig.list(id, id);
         rig.arrive(id + 1, id, message_class);
     }
     EXPECT_EQ(rig.sends().size(), destinations);
-    std::size_t dropped = 0;
-    for (int i = 0; i < 60; ++i, rig.now += ms(100)) dropped += all<CancelAttempt>(rig.decide()).size();
-    return dropped;
+    std::size_t cancelled = 0;
+    for (int i = 0; i < 60; ++i, rig.now += ms(100)) cancelled += all<CancelAttempt>(rig.decide()).size();
+    return cancelled;
 }
 
-// Incident i0760ea: calls that nobody answers must not hold the half of the slots that the sick may use.
-TEST(TimeOuts, StuckCallsGoWhenTheSickHaveUsedUpTheirHalf) {
-    EXPECT_EQ(dropped_when_silent(4, kRetryable), 4u);
+// Incident i0760ea: calls without a response must not occupy the half of max_calls that unhealthy
+// destinations may use.
+TEST(Timeouts, HungCallsAreCancelledWhenUnhealthyDestinationsUseTheirHalf) {
+    EXPECT_EQ(cancelled_without_response(4, kRetryable), 4u);
 }
 
-// Incident ib08f9d: after a stall of all, calls that may not be repeated must not hold the slots to the end.
-TEST(TimeOuts, SilentFragileCallsGoWhenTheSlotsAreJammed) { EXPECT_EQ(dropped_when_silent(7, kFragile), 7u); }
+// Incident ib08f9d: after a stall of all destinations, at-most-once calls must not occupy max_calls until
+// their deadlines.
+TEST(Timeouts, HungAtMostOnceCallsAreCancelledWhenMaxCallsIsAlmostReached) {
+    EXPECT_EQ(cancelled_without_response(7, kFragile), 7u);
+}
 
-// Incident ib08f9d: stuck calls fill the half of the sick; another sick destination still gets a trial.
-TEST(Cap, ASickDestinationWithNothingOutGetsATrial) {
-    Rig rig;  // 8 slots
+// Incident ib08f9d: hung calls use up the half for unhealthy destinations; another unhealthy destination must
+// still be probed.
+TEST(CallLimit, AnUnhealthyDestinationWithoutCallsIsProbed) {
+    Rig rig;  // max_calls is 8
     for (EndpointId id = 0; id < 5; ++id) rig.list(id, id);
     for (MessageId id = 1; id <= 4; ++id) rig.arrive(id, static_cast<DestinationId>(id - 1), kFragile);
     rig.arrive(5, 4);
-    const auto out = rig.sends();
-    ASSERT_EQ(out.size(), 5u);
+    const auto sends = rig.sends();
+    ASSERT_EQ(sends.size(), 5u);
     rig.pass(ms(3500));
-    rig.outcome(out[4], Outcome::ConnectionLost);
+    rig.outcome(sends[4], Outcome::ConnectionLost);
     EXPECT_EQ(rig.pass(ms(2500)).size(), 1u);
 }
 
-// Incident i94fd2c: refusals of calls sent together are one piece of news, not a shut destination.
-Settings one_fragile_class() {
+Settings one_at_most_once_class() {
     Settings settings = make_settings();
     settings.classes = {make_class(DeliverySemantics::AtMostOnce)};
     return settings;
 }
-/// Fails every message that is sent to the endpoint for `span`; returns how many were.
-int fail_all(Rig& rig, Outcome outcome, Time span) {
+/// Fails every message that is sent within `duration`; returns their number.
+int fail_all(Rig& rig, Outcome outcome, Time duration) {
     int failed = 0;
-    for (const Time end = rig.now + span; rig.now < end; rig.now += ms(10))
+    for (const Time end = rig.now + duration; rig.now < end; rig.now += ms(10))
         for (const Send& send : rig.sends()) rig.outcome(send, outcome), ++failed;
     return failed;
 }
 
-TEST(Probes, AnEndpointThatOnlyFragileMessagesGoToIsFoundToBeBack) {
-    Rig rig(one_fragile_class());
+TEST(Probes, RecoveryIsDetectedWithAtMostOnceMessagesOnly) {
+    Rig rig(one_at_most_once_class());
     rig.list(1, 1);
     for (MessageId id = 1; id <= 40; ++id) rig.arrive(id, 1, 0, std::nullopt, ms(60'000));
     const int lost = fail_all(rig, Outcome::ServerError, ms(10'000));
-    EXPECT_GE(lost, 4) << "two to fall sick, then probes";
-    EXPECT_LE(lost, 2 + 10'000 / 250) << "at the pace of probes: at most one in 250 ms";
+    EXPECT_GE(lost, 4) << "two until the endpoint is unhealthy, then probes";
+    EXPECT_LE(lost, 2 + 10'000 / 250) << "the rate of probes is at most one in 250 ms";
     int served = 0;
     for (const Time end = rig.now + ms(15'000); rig.now < end; rig.now += ms(10))
         for (const Send& send : rig.sends()) rig.outcome(send, Outcome::Delivered), ++served;
     EXPECT_EQ(served + lost, 40);
 }
 
-TEST(Probes, AFragileMessageThatProvablyNeverRanIsProbedWithAgain) {
-    Settings settings = one_fragile_class();
+TEST(Probes, AnAtMostOnceMessageThatProvablyDidNotRunIsUsedAgain) {
+    Settings settings = one_at_most_once_class();
     settings.max_attempts = 1000;
     Rig rig(settings);
     rig.list(1, 1);
@@ -918,20 +948,20 @@
     for (const Time end = rig.now + ms(12'000); rig.now < end; rig.now += ms(10))
         for (const Send& send : rig.sends()) rig.outcome(send, Outcome::ConnectFailed, attempts++);
     EXPECT_GE(attempts, 6u);
-    const auto again = rig.pass(ms(3000));
-    ASSERT_FALSE(again.empty());
-    rig.outcome(again.front().second, Outcome::Delivered, attempts);
+    const auto retries = rig.pass(ms(3000));
+    ASSERT_FALSE(retries.empty());
+    rig.outcome(retries.front().second, Outcome::Delivered, attempts);
     EXPECT_TRUE(rig.sends().empty());
 }
 
-TEST(Probes, AFragileMessageIsNotRiskedWhileAnotherMayBringNews) {
+TEST(Probes, AnAtMostOnceMessageIsNotUsedWhileARetryableOneIsAvailable) {
     Settings settings = make_settings();
     settings.max_attempts = 1000;
     Rig rig(settings);
     rig.list(1, 1);
     rig.arrive(1, 1, kRetryable, std::nullopt, ms(60'000));
     rig.arrive(2, 1, kFragile, std::nullopt, ms(60'000));
-    for (std::uint32_t attempt = 0; attempt < 2; ++attempt) {  // found sick by these two
+    for (std::uint32_t attempt = 0; attempt < 2; ++attempt) {  // unhealthy after these two
         rig.now += ms(1000);
         const auto sends = rig.pass(ms(3000));
         ASSERT_FALSE(sends.empty());
@@ -943,55 +973,55 @@
     for (const Time end = rig.now + ms(8000); rig.now < end; rig.now += ms(10))
         for (const Send& send : rig.sends()) {
             EXPECT_EQ(send.message, 1u)
-                << "the retryable one pauses after each failure, and goes all the same";
+                << "the retryable message is delayed after each failure and is still the one to be sent";
             rig.outcome(send, Outcome::ServerError, attempt++);
         }
     EXPECT_GT(attempt, 4u);
 }
 
-TEST(Probes, OfAnEndpointThatHangsComeEverMoreSeldom) {
-    Rig rig(one_fragile_class());
+TEST(Probes, IntervalsGrowWhileAnEndpointHangs) {
+    Rig rig(one_at_most_once_class());
     rig.list(1, 1);
     rig.arrive(1, 1, 0, std::nullopt, ms(200'000));
-    rig.outcome(rig.sends().at(0), Outcome::Delivered);  // 100 ms is usual
+    rig.outcome(rig.sends().at(0), Outcome::Delivered);  // the typical latency is 100 ms
     rig.arrive(2, 1, 0, std::nullopt, ms(200'000));
     rig.sends();
-    rig.pass(ms(2000));  // silent: found sick
+    rig.pass(ms(2000));  // no response: unhealthy
     for (MessageId id = 3; id <= 30; ++id) rig.arrive(id, 1, 0, std::nullopt, ms(200'000));
     std::vector<Time> probes;
-    for (const auto& [at, send] : rig.pass(ms(8000))) probes.push_back(at);  // no answer comes
+    for (const auto& [at, send] : rig.pass(ms(8000))) probes.push_back(at);  // no response arrives
     ASSERT_GE(probes.size(), 2u);
-    EXPECT_LE(probes.size(), 4u) << "one that hangs, two of them, four";
+    EXPECT_LE(probes.size(), 4u) << "the interval grows with one, two and four hung probes";
     for (std::size_t i = 2; i < probes.size(); ++i)
         EXPECT_GT(probes[i] - probes[i - 1], probes[i - 1] - probes[i - 2]);
 }
 
-TEST(Probes, CallsThatHangHopelesslyMakeRoomForProbes) {
-    Rig rig(one_fragile_class());
+TEST(Probes, HungCallsAreCancelledInFavourOfProbes) {
+    Rig rig(one_at_most_once_class());
     rig.list(1, 1);
     rig.arrive(1, 1, 0, std::nullopt, ms(200'000));
     rig.outcome(rig.sends().at(0), Outcome::Delivered);
     for (MessageId id = 2; id <= 30; ++id) rig.arrive(id, 1, 0, std::nullopt, ms(200'000));
     const std::size_t hung = rig.sends().size();
-    EXPECT_GE(hung, 4u) << "half of the slots: no room for another to an endpoint found sick";
-    std::size_t dropped = 0, probes = 0;
+    EXPECT_GE(hung, 4u) << "half of max_calls: an unhealthy endpoint gets no further call";
+    std::size_t cancelled = 0, probes = 0;
     for (const Time end = rig.now + ms(20'000); rig.now < end; rig.now += ms(10)) {
         const auto actions = rig.decide();
         probes += all<Send>(actions).size();
         for (const CancelAttempt& cancel : all<CancelAttempt>(actions)) {
             rig.outcome({cancel.message, 1, Time(0), {}}, Outcome::Cancelled);
-            ++dropped;
+            ++cancelled;
         }
     }
-    EXPECT_GE(dropped, 1u);
+    EXPECT_GE(cancelled, 1u);
     EXPECT_GE(probes, 2u);
     const auto late = rig.pass(ms(10'000));
-    EXPECT_FALSE(late.empty()) << "it goes on being probed";
+    EXPECT_FALSE(late.empty()) << "probing continues";
 }
 
-TEST(Probes, ABatchIsNotRiskedAtAnEndpointThatFails) {
-    Rig rig(one_fragile_class());
-    rig.list(1, 1, 2);  // four messages a call
+TEST(Probes, CarryNoBatch) {
+    Rig rig(one_at_most_once_class());
+    rig.list(1, 1, 2);  // four messages per call
     for (MessageId id = 1; id <= 40; ++id) rig.arrive(id, 1, 0, std::nullopt, ms(60'000));
     const auto first = rig.sends();
     for (const Send& send : first) rig.outcome(send, Outcome::ServerError);
@@ -1003,18 +1033,21 @@
     EXPECT_EQ(probe.size(), 1u) << "a probe carries a single message";
 }
 
-TEST(Health, RefusalsOfCallsSentTogetherAreOnePieceOfNews) {
+// Incident i94fd2c: rejections of calls that were sent together count as one outcome and must not mark the
+// destination unhealthy.
+TEST(Health, RejectionsOfCallsSentTogetherCountOnce) {
     Rig rig;
     rig.list(0, 1);
     for (MessageId id = 1; id <= 4; ++id) rig.arrive(id, 1, kFragile);
-    const auto out = rig.sends();
-    ASSERT_EQ(out.size(), 4u);
+    const auto sends = rig.sends();
+    ASSERT_EQ(sends.size(), 4u);
     rig.now += ms(50);
-    for (const Send& send : out) rig.outcome(send, Outcome::Rejected);
-    EXPECT_GE(rig.pass(ms(1500)).size(), 2u);  // not sick: fragile messages go, at the pace refusals taught
+    for (const Send& send : sends) rig.outcome(send, Outcome::Rejected);
+    // healthy: at-most-once messages are sent, at the rate learned from the rejections
+    EXPECT_GE(rig.pass(ms(1500)).size(), 2u);
 }
 
-TEST(List, WatchIsAskedAgainAfterAFailure) {
+TEST(EndpointListUpdates, WatchIsRepeatedAfterAFailure) {
     Settings settings = make_settings();
     settings.must_subscribe = true;
     Rig rig(settings);
@@ -1026,7 +1059,7 @@
     EXPECT_EQ(all<Watch>(rig.decide()).size(), 1u);
 }
 
-TEST(Batches, OneCallOneSlot) {
+TEST(Batches, ABatchIsOneCall) {
     Settings settings = make_settings();
     settings.max_calls = 2;
     Rig rig(settings);
@@ -1035,7 +1068,7 @@
     EXPECT_EQ(rig.sent(), (Ids{1, 2, 3, 4}));
 }
 
-TEST(Interface, BadSettingsThrowNamingTheSetting) {
+TEST(Interface, InvalidSettingsThrowAndNameTheSetting) {
     Settings settings = make_settings();
     settings.max_calls = 0;
     try {
@@ -1051,8 +1084,8 @@
     EXPECT_THROW(rig.arrive(1, 1, 99), std::invalid_argument);
 }
 
-// A list event with one bad entry changes nothing: the endpoints before it are not taken over either.
-TEST(Interface, ABadListEventIsRefusedWhole) {
+// A list event with one invalid entry changes nothing, so the entries before it are not applied either.
+TEST(Interface, AnInvalidListEventIsRejectedAsAWhole) {
     Rig rig;
     ListEvent event;
     event.kind = ListUpdateKind::Full;
@@ -1064,54 +1097,57 @@
     EXPECT_TRUE(rig.sends().empty());
 }
 
-TEST(Interface, UnknownMessagesArePassedOver) {
+TEST(Interface, UnknownMessagesAreIgnored) {
     Rig rig;
     rig.sender.observe(AbandonedEvent{77}, rig.now);
     rig.outcome(Send{77, 0, Time(0)}, Outcome::Delivered);
     EXPECT_TRUE(all<Send>(rig.decide()).empty());
 }
 
-// ---- what has gone ----
+// ---- removed endpoints ----
 
-// An outcome or a doubt may still name an endpoint that is no longer listed; after them nothing does.
-TEST(Gone, IsForgottenOnceNothingNamesIt) {
+// An outcome or an ambiguous attempt may still refer to an endpoint that is no longer listed; once neither
+// does, the endpoint is released.
+TEST(RemovedEndpoint, IsReleasedOnceNothingRefersToIt) {
     Rig rig;
     rig.list(0, 1);
     rig.arrive(1, 1, kDedup);
-    const auto out = rig.sends();
-    ASSERT_EQ(out.size(), 1u);
-    const auto forgotten = [&rig](Time span) {
+    const auto sends = rig.sends();
+    ASSERT_EQ(sends.size(), 1u);
+    const auto released_within = [&rig](Time duration) {
         std::vector<EndpointId> found;
-        for (const Time end = rig.now + span; rig.now < end;) {
+        for (const Time end = rig.now + duration; rig.now < end;) {
             rig.now += ms(100);
-            for (const ReleaseEndpoint& forget : all<ReleaseEndpoint>(rig.decide()))
-                found.push_back(forget.endpoint);
+            for (const ReleaseEndpoint& release : all<ReleaseEndpoint>(rig.decide()))
+                found.push_back(release.endpoint);
         }
         return found;
     };
     rig.list(0, 1, 0, 0.0, Condition::Removed);
-    EXPECT_TRUE(forgotten(ms(2000)).empty());
-    rig.outcome(out[0], Outcome::ConnectionLost);
-    EXPECT_TRUE(forgotten(ms(2000)).empty());  // a repeat may be bound to where the first try went
-    EXPECT_EQ(forgotten(ms(10000)), std::vector<EndpointId>{0});
+    EXPECT_TRUE(released_within(ms(2000)).empty());
+    rig.outcome(sends[0], Outcome::ConnectionLost);
+    // a retry may be limited to the endpoint of the first attempt
+    EXPECT_TRUE(released_within(ms(2000)).empty());
+    EXPECT_EQ(released_within(ms(10000)), std::vector<EndpointId>{0});
 }
 
-std::size_t sends_with_spoilt_answers(int every) {
+std::size_t sends_with_malformed_responses(int every) {
     Rig rig;
     rig.list(0, 1);
     for (MessageId id = 1; id <= 30; ++id) rig.arrive(id, 1);
-    std::map<MessageId, std::uint32_t> tries;
+    std::map<MessageId, std::uint32_t> attempts;
     std::size_t count = 0;
     for (const Time end = rig.now + ms(3000); rig.now < end; rig.now += ms(10))
         for (const Send& send : rig.sends())
             rig.outcome(send, ++count % every == 0 ? Outcome::MalformedResponse : Outcome::Delivered,
-                tries[send.message]++, Time(0), ms(10));
+                attempts[send.message]++, Time(0), ms(10));
     return count;
 }
-// A spoilt answer comes from a target that takes calls; only where hardly any other comes it is an outage.
-TEST(Health, SpoiltAnswersNowAndThenAreNoOutage) {
-    EXPECT_GT(sends_with_spoilt_answers(4), 30u);
-    EXPECT_LT(sends_with_spoilt_answers(1), 30u);
+// A malformed response shows that the endpoint accepts calls; it is an outage only if almost all responses
+// are malformed.
+TEST(Health, OccasionalMalformedResponsesAreNoOutage) {
+    EXPECT_GT(sends_with_malformed_responses(4), 30u);
+    EXPECT_LT(sends_with_malformed_responses(1), 30u);
 }
 
 }  // namespace
