--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -1,4 +1,4 @@
-// Replacing the process: two real processes over one folder and one listening socket.
+// Replaces a running process: two real processes share one folder and one listening socket.
 #include "false_claim.hpp"
 #include "node_fixture.hpp"
 
@@ -7,96 +7,97 @@
 
 class HandoverTest : public NodeTest {
 protected:
-    HandoverTest() : before(node.other_address()), after(node.other_address()) {
+    HandoverTest() : old_management(node.other_address()), new_management(node.other_address()) {
         node.hold_listener();
-        node.config()["management"] = text_of(before);
+        node.config()["management"] = text_of(old_management);
         node.config()["settings"]["family_info"]["slots"] = 1;
     }
 
-    void replace() {
-        node.start_beside(after);
-        ASSERT_TRUE(says_yes(after)) << node.log();
+    void start_replacement() {
+        node.start_beside(new_management);
+        ASSERT_TRUE(says_yes(new_management)) << node.log();
     }
-    void end_former() {
+    void stop_predecessor() {
         ::kill(node.former(), SIGTERM);
         const int status = node.wait_former();
         EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
     }
-    static std::string id_of(const Exchange& exchange) { return exchange.header("X-Call-Id"); }
+    static std::string message_id(const Exchange& exchange) { return exchange.header("X-Call-Id"); }
 
-    Tcp::endpoint before, after;
+    Tcp::endpoint old_management, new_management;
     const std::string second = "00000000000000a2", third = "00000000000000a3";
 };
 
-// One call is out on the old process's connection: the new one counts its slot, and does not send it again.
-TEST_F(HandoverTest, HandsOnWhatIsHeldAndWhatIsOut) {
+// One call is in flight on a connection of the old process. The new process must count it against the
+// endpoint's limit of concurrent calls and must not send its message again.
+TEST_F(HandoverTest, HandsOverWaitingMessagesAndCallsInFlight) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange out = target.next();
+    const Exchange in_flight = target.next();
     ASSERT_EQ(enqueue(client, second), "+OK");
-    replace();
-    EXPECT_EQ(operate(before, "GET", "/ready"), 503);
+    start_replacement();
+    EXPECT_EQ(operate(old_management, "GET", "/ready"), 503);
     EXPECT_TRUE(target.none_within(300ms));
-    out.answer(200);
+    in_flight.answer(200);
     const Exchange next = target.next();
-    EXPECT_EQ(id_of(next), second);
+    EXPECT_EQ(message_id(next), second);
     next.answer(200);
-    end_former();
-    Client fresh = node.client();
-    ASSERT_EQ(enqueue(fresh, third), "+OK");
-    EXPECT_EQ(id_of(target.next()), third);
+    stop_predecessor();
+    Client new_client = node.client();
+    ASSERT_EQ(enqueue(new_client, third), "+OK");
+    EXPECT_EQ(message_id(target.next()), third);
 }
 
-// A request that the old process has begun to read is answered there, by the word of the new one.
-TEST_F(HandoverTest, AnswersWhatItHasReadAndClosesBetweenRequests) {
+// The old process replies to a request that it has begun to read, and the new process decides the reply.
+TEST_F(HandoverTest, RepliesToRequestsInProgressAndClosesIdleConnections) {
     node.start_ready();
-    Client idle = node.client(), half = node.client();
+    Client idle = node.client(), partial = node.client();
     ASSERT_EQ(idle.ask({"PING"}), "+PONG");
-    ASSERT_EQ(half.ask({"PING"}), "+PONG");
+    ASSERT_EQ(partial.ask({"PING"}), "+PONG");
     const std::string request = "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$16\r\n" + id +
                                 "\r\n$28\r\nc=safe,t=acme,d=30000,dest=7\r\n$1\r\nB\r\n";
-    half.send(request.substr(0, 30));
+    partial.send(request.substr(0, 30));
     std::this_thread::sleep_for(50ms);
-    replace();
+    start_replacement();
     EXPECT_TRUE(idle.ended());
-    half.send(request.substr(30));
-    EXPECT_EQ(half.line(), "+OK");
-    EXPECT_TRUE(half.ended());
-    EXPECT_EQ(id_of(target.next()), id);
-    end_former();
+    partial.send(request.substr(30));
+    EXPECT_EQ(partial.line(), "+OK");
+    EXPECT_TRUE(partial.ended());
+    EXPECT_EQ(message_id(target.next()), id);
+    stop_predecessor();
 }
 
-// The file has changed between the two: what is held keeps its class, and so does what the old one still
-// reads.
-TEST_F(HandoverTest, KeepsClassesThatTheNewOneDoesNotKnow) {
+// The configuration file has changed between the two starts. Messages in memory keep their class, and so do
+// requests that the old process is still reading.
+TEST_F(HandoverTest, KeepsClassesThatTheNewConfigurationLacks) {
     node.start_ready();
-    Client client = node.client(), half = node.client();
+    Client client = node.client(), partial = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange out = target.next();
+    const Exchange in_flight = target.next();
     ASSERT_EQ(enqueue(client, second, "keyed"), "+OK");
     const std::string request = "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$16\r\n" + third +
                                 "\r\n$28\r\nc=safe,t=acme,d=30000,dest=7\r\n$1\r\nB\r\n";
-    half.send(request.substr(0, 30));
+    partial.send(request.substr(0, 30));
     std::this_thread::sleep_for(50ms);
     auto& classes = node.config()["settings"]["classes"];
     classes[0]["name"] = "strict";
     classes.erase(1);
     node.write_config(node.config().dump());
-    replace();
-    half.send(request.substr(30));
-    EXPECT_EQ(half.line(), "+OK");
-    out.answer(500);  // "safe": it may go again
-    std::multiset<std::string> went;
+    start_replacement();
+    partial.send(request.substr(30));
+    EXPECT_EQ(partial.line(), "+OK");
+    in_flight.answer(500);  // the class "safe" may be retried
+    std::multiset<std::string> sent_ids;
     for (int i = 0; i < 3; ++i) {
         const Exchange call = target.next();
-        went.insert(id_of(call));
+        sent_ids.insert(message_id(call));
         call.answer(200);
     }
-    EXPECT_EQ(went, (std::multiset<std::string>{id, second, third}));
+    EXPECT_EQ(sent_ids, (std::multiset<std::string>{id, second, third}));
 }
 
-TEST_F(HandoverTest, HandsOnToldWaitsBansAndADrain) {
+TEST_F(HandoverTest, HandsOverRetryAfterDisabledEndpointsAndADrain) {
     HttpStub other;
     node.config()["settings"]["family_info"]["slots"] = 4;
     node.start_ready();
@@ -105,110 +106,113 @@
     agent_request("/v1/servers?from=5");
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange refused = target.next();
-    const auto told = Clock::now();
-    refused.answer(429, "Retry-After: 2.5\r\n");
-    ASSERT_EQ(operate(before, "POST", "/endpoints/disable?who=s-2"), 200);
+    const Exchange call = target.next();
+    const auto refused_at = Clock::now();
+    call.answer(429, "Retry-After: 2.5\r\n");
+    ASSERT_EQ(operate(old_management, "POST", "/endpoints/disable?who=s-2"), 200);
     ASSERT_EQ(enqueue(client, second, "safe", 30000, "B", 8), "+OK");
-    ASSERT_EQ(operate(before, "POST", "/drain"), 200);
-    node.start_beside(after);
+    ASSERT_EQ(operate(old_management, "POST", "/drain"), 200);
+    node.start_beside(new_management);
     ASSERT_TRUE(node.logs("handover: taken over"));
-    EXPECT_EQ(operate(after, "GET", "/ready"), 503);
+    EXPECT_EQ(operate(new_management, "GET", "/ready"), 503);
     EXPECT_EQ(node.client().ask({"PING"})[0], '-');
-    EXPECT_EQ(operate(before, "POST", "/undrain"), 200);  // either address serves the one forwarder
-    EXPECT_TRUE(says_yes(after));
-    EXPECT_EQ(id_of(target.next()), id);
-    EXPECT_GE(Clock::now() - told, 2500ms);
+    // both management addresses act on the same forwarder
+    EXPECT_EQ(operate(old_management, "POST", "/undrain"), 200);
+    EXPECT_TRUE(says_yes(new_management));
+    EXPECT_EQ(message_id(target.next()), id);
+    EXPECT_GE(Clock::now() - refused_at, 2500ms);
     EXPECT_TRUE(other.none_within(100ms));
-    EXPECT_EQ(operate(after, "POST", "/endpoints/enable?who=s-2"), 200);
-    EXPECT_EQ(id_of(other.next()), second);
+    EXPECT_EQ(operate(new_management, "POST", "/endpoints/enable?who=s-2"), 200);
+    EXPECT_EQ(message_id(other.next()), second);
 }
 
-TEST_F(HandoverTest, TheNewOneGoesOnWhereTheOldOneIsKilled) {
+TEST_F(HandoverTest, NewProcessContinuesWhenTheOldOneIsKilled) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     target.next();
     ASSERT_EQ(enqueue(client, second, "unsafe"), "+OK");
-    replace();
+    start_replacement();
     ::kill(node.former(), SIGKILL);
     node.wait_former();
-    std::set<std::string> went;  // the one that was out may be repeated; no order is owed
+    std::set<std::string> sent_ids;  // the message that was in flight may be retried; no order is guaranteed
     for (int i = 0; i < 2; ++i) {
         const Exchange call = target.next();
-        went.insert(id_of(call));
+        sent_ids.insert(message_id(call));
         call.answer(200);
     }
-    EXPECT_EQ(went, (std::set<std::string>{id, second}));
+    EXPECT_EQ(sent_ids, (std::set<std::string>{id, second}));
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-TEST_F(HandoverTest, TheOldOneGoesOnWhereTheNewOneIsKilled) {
+TEST_F(HandoverTest, OldProcessContinuesWhenTheNewOneIsKilled) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
-    const Exchange out = target.next();
+    const Exchange in_flight = target.next();
     ASSERT_EQ(enqueue(client, second), "+OK");
-    replace();
+    start_replacement();
     node.kill();
     node.wait();
     node.back_to_former();
-    ASSERT_TRUE(says_yes(before)) << node.log();
-    Client fresh = node.client();
-    ASSERT_EQ(enqueue(fresh, third), "+OK");
-    EXPECT_TRUE(target.none_within(200ms));  // the slot of the call that is out still counts
-    out.answer(200);
+    ASSERT_TRUE(says_yes(old_management)) << node.log();
+    Client new_client = node.client();
+    ASSERT_EQ(enqueue(new_client, third), "+OK");
+    EXPECT_TRUE(target.none_within(200ms));  // the call in flight still counts against the limit
+    in_flight.answer(200);
     for (const std::string& expected : {second, third}) {
         const Exchange call = target.next();
-        EXPECT_EQ(id_of(call), expected);
+        EXPECT_EQ(message_id(call), expected);
         call.answer(200);
     }
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-TEST_F(HandoverTest, OneThatClaimsAndGoesSilentOrLeavesChangesNothing) {
+TEST_F(HandoverTest, SurvivesAClaimantThatStallsOrDisconnects) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange out = target.next();
-    const FalseClaim silent(node.state());  // says nothing at all
+    const Exchange in_flight = target.next();
+    const FalseClaim silent(node.state());  // sends nothing at all
     std::this_thread::sleep_for(1200ms);
     std::optional<FalseClaim> claim(node.state());
     claim->send({{"step", "claim"}});
     EXPECT_EQ(claim->hear()["step"], "offer");
-    out.answer(200);
-    Client waiting = node.client();  // its connection waits for whoever owns the folder in the end
+    in_flight.answer(200);
+    Client waiting_client = node.client();  // waits for the process that owns the folder in the end
     claim.reset();
-    EXPECT_EQ(enqueue(waiting, second), "+OK");
-    EXPECT_EQ(id_of(target.next()), second);
-    FalseClaim hangs(node.state());
-    hangs.send({{"step", "claim"}});
-    EXPECT_EQ(hangs.hear()["step"], "offer");
-    EXPECT_EQ(enqueue(client, third), "+OK");  // once it has waited long enough
-    EXPECT_TRUE(says_yes(before));
+    EXPECT_EQ(enqueue(waiting_client, second), "+OK");
+    EXPECT_EQ(message_id(target.next()), second);
+    FalseClaim stalled(node.state());
+    stalled.send({{"step", "claim"}});
+    EXPECT_EQ(stalled.hear()["step"], "offer");
+    EXPECT_EQ(enqueue(client, third), "+OK");  // replied to after the claimant has timed out
+    EXPECT_TRUE(says_yes(old_management));
 }
 
-// Nothing but the timer wakes a process that only holds a message: it must not be lost with the offer.
-TEST_F(HandoverTest, AMessageEndsInTimeWhereAnOfferIsTakenBack) {
+// Only the timer wakes a process that has nothing but a waiting message. Taking back an offer must restore
+// that timer.
+TEST_F(HandoverTest, MessagesExpireOnTimeAfterAnOfferIsTakenBack) {
     node.start_ready();
     Client client = node.client();
-    ASSERT_EQ(enqueue(client, id, "safe", 2500, "B", 99), "+OK");  // nothing is in service there
+    ASSERT_EQ(enqueue(client, id, "safe", 2500, "B", 99), "+OK");  // no endpoint is in service there
     std::optional<FalseClaim> claim(node.state());
     claim->send({{"step", "claim"}});
     EXPECT_EQ(claim->hear()["step"], "offer");
     claim.reset();
     ASSERT_TRUE(node.logs("taken back"));
-    const auto until = Clock::now() + 10s;  // discovery is asked again and again meanwhile
+    const auto deadline = Clock::now() + 10s;  // repeated discovery requests arrive in between
     std::optional<Exchange> report;
     while (!report || report->request.target() != "/reports") {
-        ASSERT_LT(Clock::now(), until);
+        ASSERT_LT(Clock::now(), deadline);
         report = agent.next();
     }
     EXPECT_EQ(notices(*report)[0]["ref"], id);
 }
 
-// SIGHUP reaches the old process, which decides nothing any more: the new one read the file before.
-TEST_F(HandoverTest, TheNewOneIsToldOfASighup) {
+// SIGHUP reaches the old process, which makes no decisions any more. The new process has read the
+// configuration file before the signal, so the old one must notify it.
+TEST_F(HandoverTest, NotifiesTheNewProcessOfASighup) {
     node.start_ready();
     FalseClaim claim(node.state());
     claim.send({{"step", "claim"}});
@@ -216,36 +220,37 @@
     node.reload(node.config().dump());
     ASSERT_TRUE(node.logs("configuration read anew"));
     claim.send({{"step", "ready"}});
-    const auto hears_reload = [&claim] {
-        for (int notes = 0; notes < 20; ++notes)
+    const auto receives_reload = [&claim] {
+        for (int i = 0; i < 20; ++i)
             if (claim.hear().contains("reload")) return true;
         return false;
     };
-    EXPECT_TRUE(hears_reload());
+    EXPECT_TRUE(receives_reload());
     node.reload(node.config().dump());
-    EXPECT_TRUE(hears_reload());
+    EXPECT_TRUE(receives_reload());
 }
 
-// The list in use is the old one's, which has no revision here: changes since the file's say nothing whole.
-TEST_F(HandoverTest, TheNewOneAsksForTheWholeList) {
+// The list in use comes from the old process and has no revision in the new one. Changes since the revision
+// of the configuration file would therefore not yield a complete list.
+TEST_F(HandoverTest, NewProcessRequestsTheWholeList) {
     node.start_ready();
     tell(agent_request("/v1/servers?from=1"), list(5, true, {member("s-1", target.address(), 7)}));
     agent_request("/v1/servers?from=5");
-    replace();
+    start_replacement();
     EXPECT_EQ(agent_request("/v1/servers").request.target(), "/v1/servers");
 }
 
-TEST_F(HandoverTest, BindsByItselfWhereNothingIsInherited) {
-    Node own(node.config());
-    own.start_ready();
-    Client kept = own.client();
-    ASSERT_EQ(kept.ask({"PING"}), "+PONG");
-    own.start_beside(after);
-    ASSERT_TRUE(says_yes(after)) << own.log();
-    EXPECT_TRUE(kept.ended());
-    ::kill(own.former(), SIGTERM);
-    own.wait_former();
-    EXPECT_EQ(own.client().ask({"PING"}), "+PONG");
+TEST_F(HandoverTest, BindsItsOwnListenerWhenNoneIsInherited) {
+    Node standalone(node.config());
+    standalone.start_ready();
+    Client idle = standalone.client();
+    ASSERT_EQ(idle.ask({"PING"}), "+PONG");
+    standalone.start_beside(new_management);
+    ASSERT_TRUE(says_yes(new_management)) << standalone.log();
+    EXPECT_TRUE(idle.ended());
+    ::kill(standalone.former(), SIGTERM);
+    standalone.wait_former();
+    EXPECT_EQ(standalone.client().ask({"PING"}), "+PONG");
 }
 
 }  // namespace
