--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,4 +1,4 @@
-// The built program between stub sockets: clients, targets and discovery.
+// Runs the built program against stub clients, endpoints and a stub discovery agent.
 #include "net/discovery.hpp"
 #include "node_fixture.hpp"
 
@@ -6,14 +6,14 @@
 namespace {
 
 TEST_F(NodeTest, DeliversUnchangedOverOneConnection) {
-    node.config()["settings"]["family_info"]["slots"] = 1;  // the second call follows the first answer
+    node.config()["settings"]["family_info"]["slots"] = 1;  // the second call follows the first response
     node.start_ready();
     Client client = node.client();
     const std::string body("\0\r\n$5\xff", 6);
-    const auto expect_unchanged = [&body](const Exchange& call, const std::string& one) {
+    const auto expect_unchanged = [&body](const Exchange& call, const std::string& message) {
         EXPECT_EQ(call.request.method(), http::verb::post);
         EXPECT_EQ(call.request.target(), "/v1/messages");
-        EXPECT_EQ(call.header("X-Call-Id"), one);
+        EXPECT_EQ(call.header("X-Call-Id"), message);
         EXPECT_EQ(call.header("Idempotency-Key"), "5c0f6e1a2b3d4c59");
         EXPECT_GT(std::stoi(call.header("X-Budget-Ms")), 0);
         EXPECT_LE(std::stoi(call.header("X-Budget-Ms")), 30000);
@@ -23,14 +23,14 @@
     const std::string other = "00000000000000aa";
     ASSERT_EQ(enqueue(client, id, "keyed", 30000, body), "+OK");
     const Exchange first = target.next();
-    // held before the first is answered: else the module may give the idle connection back in between
+    // accepted before the first response: otherwise the idle connection may be released in between
     ASSERT_EQ(enqueue(client, other, "keyed", 30000, body), "+OK");
     expect_unchanged(first, id);
     expect_unchanged(target.next(), other);
     EXPECT_EQ(target.connections(), 1);
 }
 
-TEST_F(NodeTest, TakesPipelinedRequestsAndAnswersInOrder) {
+TEST_F(NodeTest, RepliesToPipelinedRequestsInOrder) {
     node.start_ready();
     Client client = node.client();
     const std::string request = "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$16\r\n" + id +
@@ -41,8 +41,8 @@
     EXPECT_EQ(client.line().substr(0, 4), "-ERR");
 }
 
-// An id comes twice when its client met a closed connection: it is one message.
-TEST_F(NodeTest, TakesAnIdOnOnce) {
+// A client sends an id again after its connection was closed. Both requests are for the same message.
+TEST_F(NodeTest, AcceptsAnIdOnce) {
     node.start_ready();
     Client client = node.client();
     EXPECT_EQ(enqueue(client, id), "+OK");
@@ -52,25 +52,25 @@
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-// Told at the end of its time over a connection that has fallen silent, a notice must not wait for it: 300 ms
-// later the message is lost.
-TEST_F(NodeTest, TellsANoticeAgainWhereTheAgentsConnectionIsSilent) {
+// A notice that is sent at the message's deadline over a connection that no longer responds must be sent
+// again without waiting for that connection: 300 ms later the message counts as lost.
+TEST_F(NodeTest, ResendsANoticeWhenTheAgentsConnectionIsSilent) {
     node.start_ready();
     Client client = node.client();
-    ASSERT_EQ(enqueue(client, id, "safe", 300, "B", 99), "+OK");  // nothing is in service there
+    ASSERT_EQ(enqueue(client, id, "safe", 300, "B", 99), "+OK");  // no endpoint is in service there
     const Exchange silent = agent_request("/reports");
-    const auto told = Clock::now();
+    const auto sent_at = Clock::now();
     const Exchange again = agent_request("/reports");
-    EXPECT_LT(Clock::now() - told, 1000ms);  // a loaded machine needs time too
+    EXPECT_LT(Clock::now() - sent_at, 1000ms);  // a loaded machine needs time too
     EXPECT_EQ(again.request.body(), silent.request.body());
     again.answer(204);
     ASSERT_EQ(enqueue(client, "00000000000000aa", "safe", 300, "B", 99), "+OK");
     EXPECT_EQ(notices(agent_request("/reports")).size(), 1u);  // the first one is confirmed
 }
 
-// As many servers as any deployment is said to have, one destination for each two of them, and as many
-// forwarders; indented, and in pieces that end anywhere. Known from the start, told whole, and changed at
-// once.
+// The list has as many endpoints as the largest stated deployment, one destination for every two endpoints,
+// and there are as many forwarders. The list is known from the start by the configuration, and then arrives
+// as a whole list and as changes of all entries at once, indented and in pieces that end anywhere.
 class LargeList : public NodeTest {
 protected:
     static constexpr int kServers = 1024;
@@ -80,39 +80,40 @@
             all.push_back(member("s-" + std::to_string(i), target.address(), i / 2, phase));
         return list(revision, complete, all);
     }
-    static void tell_in_pieces(const Exchange& watch, const Json& told) {
-        const std::string body = told.dump(4);
+    static void send_in_pieces(const Exchange& watch, const Json& content) {
+        const std::string body = content.dump(4);
         watch.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n");
         for (std::size_t at = 0; at < body.size(); at += 50'001) {
             watch.write(body.substr(at, 50'001));
             std::this_thread::sleep_for(5ms);
         }
     }
-    void expect_delivered(Client& client, const std::string& one, int destination) {
-        ASSERT_EQ(enqueue(client, one, "safe", 30000, "B", destination), "+OK");
+    void expect_delivered(Client& client, const std::string& message, int destination) {
+        ASSERT_EQ(enqueue(client, message, "safe", 30000, "B", destination), "+OK");
         const Exchange call = target.next();
-        EXPECT_EQ(call.header("X-Call-Id"), one);
+        EXPECT_EQ(call.header("X-Call-Id"), message);
         call.answer(200);
     }
 };
-TEST_F(LargeList, IsTakenWholeHoweverItComes) {
+TEST_F(LargeList, IsReadCompletelyInEveryForm) {
     node.config()["settings"]["n_instances"] = kServers;
     node.config()["known"] = servers(1, true);
     node.start_ready();
     Client client = node.client();
     expect_delivered(client, "00000000000000a1", 0);
     expect_delivered(client, "00000000000000a2", kServers / 2 - 1);
-    tell_in_pieces(agent_request("/v1/servers?from=1"), servers(2, true));
-    tell_in_pieces(agent_request("/v1/servers?from=2"), servers(3, false, "terminating"));
-    const Exchange watch = agent_request("/v1/servers?from=3");  // so the one before has been read
+    send_in_pieces(agent_request("/v1/servers?from=1"), servers(2, true));
+    send_in_pieces(agent_request("/v1/servers?from=2"), servers(3, false, "terminating"));
+    const Exchange watch = agent_request("/v1/servers?from=3");  // shows that the previous list has been read
     ASSERT_EQ(enqueue(client, "00000000000000a3", "safe", 30000, "B", 0), "+OK");
-    EXPECT_TRUE(target.none_within(500ms));  // all of them drain
-    tell_in_pieces(watch, servers(4, false));
+    EXPECT_TRUE(target.none_within(500ms));  // all endpoints drain
+    send_in_pieces(watch, servers(4, false));
     EXPECT_EQ(target.next().header("X-Call-Id"), "00000000000000a3");
 }
 
-// join+brink: some clients copy an id. Taken on anew after its end, a purchase would be delivered twice.
-TEST_F(NodeTest, TakesNoIdOnAgainAfterItsEnd) {
+// Some clients send an id twice. If it were accepted again after its message has ended, an at-most-once
+// message such as a purchase would be delivered twice.
+TEST_F(NodeTest, DoesNotAcceptAnIdAgainAfterItsEnd) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
@@ -121,28 +122,29 @@
     EXPECT_EQ(enqueue(client, id, "unsafe"), "+OK");
     const std::string other = "00000000000000aa";
     ASSERT_EQ(enqueue(client, other, "unsafe", 5000), "+OK");
-    target.next().answer(500);  // it may have run: it is over
+    target.next().answer(500);  // it may have run, so it has ended
     agent_request("/reports").answer(204);
     std::this_thread::sleep_for(200ms);
     EXPECT_EQ(enqueue(client, other, "unsafe", 5000), "+OK");
     EXPECT_TRUE(target.none_within(500ms));
 }
 
-// Nor after a restart, or two: an effect that may not be repeated would come twice.
-TEST_F(NodeTest, TakesNoIdOnAgainAfterItsEndAndARestart) {
+// The same holds after one restart and after two: otherwise the effect of an at-most-once message would occur
+// twice.
+TEST_F(NodeTest, DoesNotAcceptAnIdAgainAfterItsEndAndARestart) {
     node.start_ready();
     const std::string other = "00000000000000aa";
     Client first = node.client();
     ASSERT_EQ(enqueue(first, id, "unsafe"), "+OK");
     target.next().answer(200);
     ASSERT_EQ(enqueue(first, other, "unsafe"), "+OK");
-    target.next().answer(500);  // it may have run: it is over
+    target.next().answer(500);  // it may have run, so it has ended
     const Exchange unconfirmed = agent_request("/reports");
-    for (int restart = 0; restart < 2; ++restart) {  // the second reads what the first wrote anew
+    for (int restart = 0; restart < 2; ++restart) {  // the second reads the journal that the first rewrote
         node.kill();
         node.wait();
         node.start_ready();
-        const Exchange report = agent_request("/reports");  // its outcome has come before it
+        const Exchange report = agent_request("/reports");  // the outcome of the call arrived before it
         if (restart == 1) report.answer(204);
     }
     std::this_thread::sleep_for(200ms);
@@ -151,8 +153,8 @@
     EXPECT_TRUE(target.none_within(500ms));
 }
 
-class Repeated : public NodeTest, public ::testing::WithParamInterface<const char*> {};
-TEST_P(Repeated, GoesAgainUnderTheSameId) {
+class RetryableResponse : public NodeTest, public ::testing::WithParamInterface<const char*> {};
+TEST_P(RetryableResponse, IsFollowedByARetryUnderTheSameId) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
@@ -163,7 +165,7 @@
     second.answer(200);
     EXPECT_TRUE(target.none_within(300ms));
 }
-INSTANTIATE_TEST_SUITE_P(Node, Repeated,
+INSTANTIATE_TEST_SUITE_P(Node, RetryableResponse,
     ::testing::Values("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 503 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
         "HTTP/1.1 503 X\r\nContent-Length: 0\r\nX-Over-Slots: 1\r\n\r\n",
@@ -172,21 +174,21 @@
         "HTTP/1.1 999 X\r\nX-Load-Report: x0=,=,x9\r\nContent-Length: 0\r\n\r\n", "this is no HTTP\r\n\r\n",
         ""));
 
-TEST_F(NodeTest, HeedsAToldWait) {
-    node.config()["settings"]["family_info"]["slots"] = 1;  // nothing goes out before the wait is told
+TEST_F(NodeTest, HonorsRetryAfter) {
+    node.config()["settings"]["family_info"]["slots"] = 1;  // nothing is sent before the retry-after arrives
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     const Exchange call = target.next();
-    const auto told = Clock::now();
+    const auto sent_at = Clock::now();
     call.answer(429, "Retry-After: 0.7\r\n");
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");
     target.next().answer(200);
-    EXPECT_GE(Clock::now() - told, 700ms);
+    EXPECT_GE(Clock::now() - sent_at, 700ms);
 }
 
-// 410: the message is over; neither another call nor a notice is owed.
-TEST_F(NodeTest, EndsAWithdrawnMessageInSilence) {
+// A response with 410 ends the message; neither a retry nor a notice must follow.
+TEST_F(NodeTest, EndsAWithdrawnMessageWithoutANotice) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 1500), "+OK");
@@ -198,8 +200,8 @@
     EXPECT_EQ(ended[0]["ref"], "00000000000000aa");
 }
 
-// The outcome stands with the first line: a connection that breaks behind it must not undo a delivery.
-TEST_F(NodeTest, CountsAFirstLineOf200AsDelivered) {
+// The status line decides the outcome: a connection that is lost after it must not undo a delivery.
+TEST_F(NodeTest, CountsAStatusLineWith200AsDelivered) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
@@ -209,7 +211,7 @@
     EXPECT_TRUE(target.none_within(500ms));
 }
 
-TEST_F(NodeTest, GivesUpACallByClosingAndTellsTheEnd) {
+TEST_F(NodeTest, SendsANoticeWhenACallOutlivesItsDeadline) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 700), "+OK");
@@ -220,7 +222,7 @@
     EXPECT_LE(std::stoi(call.header("X-Budget-Ms")), 700);
 }
 
-TEST_F(NodeTest, NeverRepeatsAnUnsafeMessageInDoubt) {
+TEST_F(NodeTest, NeverRetriesAnAmbiguousAtMostOnceMessage) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
@@ -229,24 +231,24 @@
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-// A target may close an idle connection: a call written to it would end as a reset, and an unsafe one is
-// lost.
-TEST_F(NodeTest, DoesNotReuseAConnectionThatTheTargetClosed) {
+// An endpoint may close an idle connection. A call written to it would end with a reset, and an at-most-once
+// message would be lost.
+TEST_F(NodeTest, DoesNotReuseAConnectionThatTheEndpointClosed) {
     node.start_ready();
     Client client = node.client();
-    for (const char* one : {"00000000000000a1", "00000000000000a2", "00000000000000a3"}) {
-        ASSERT_EQ(enqueue(client, one, "unsafe"), "+OK");
+    for (const char* message : {"00000000000000a1", "00000000000000a2", "00000000000000a3"}) {
+        ASSERT_EQ(enqueue(client, message, "unsafe"), "+OK");
         const Exchange call = target.next();
-        EXPECT_EQ(call.header("X-Call-Id"), one);
+        EXPECT_EQ(call.header("X-Call-Id"), message);
         call.answer(200);
         call.hang_up();
-        std::this_thread::sleep_for(100ms);  // the close is on its way
+        std::this_thread::sleep_for(100ms);  // the close takes a moment to arrive
     }
     EXPECT_EQ(target.connections(), 3);
 }
 
-// A client that is refused is told when to come back: otherwise it comes into the same full house.
-TEST_F(NodeTest, AnswersBusyAndWhenToComeBackWhenItHoldsAllThatItMay) {
+// A refused client gets a retry-after: otherwise it retries while the forwarder is still full.
+TEST_F(NodeTest, RepliesBusyWithARetryAfterAtTheMessageLimit) {
     node.config()["settings"]["limits"]["most_held"] = 4;
     node.start_ready();
     Client client = node.client();
@@ -257,22 +259,22 @@
     EXPECT_GT(std::stoi(last.substr(6)), 0);
 }
 
-// Room on disk is finite: what cannot be kept is not owed.
-TEST_F(NodeTest, AnswersBusyWhenTheJournalIsFull) {
+// Disk space is limited: a message that cannot be recorded in the journal must not be accepted.
+TEST_F(NodeTest, RepliesBusyWhenTheJournalIsFull) {
     node.config()["limits"]["disk_mb"] = 0.3;
     node.start_ready();
     Client client = node.client();
     const std::string body(50'000, 'b');
-    std::vector<std::string> answers;
+    std::vector<std::string> replies;
     for (int i = 0; i < 6; ++i)
-        answers.push_back(enqueue(client, "00000000000000a" + std::to_string(i), "safe", 30000, body, 99));
-    EXPECT_EQ(answers.front(), "+OK");
-    EXPECT_EQ(answers.back().substr(0, 5), "-BUSY");
+        replies.push_back(enqueue(client, "00000000000000a" + std::to_string(i), "safe", 30000, body, 99));
+    EXPECT_EQ(replies.front(), "+OK");
+    EXPECT_EQ(replies.back().substr(0, 5), "-BUSY");
 }
 
 // ---- restarts ----
 
-TEST_F(NodeTest, DeliversAfterSigkillWhatItHeld) {
+TEST_F(NodeTest, DeliversAcceptedMessagesAfterSigkill) {
     node.config()["known"] = list(1, true, {});
     node.start_ready();
     {
@@ -291,7 +293,7 @@
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-TEST_F(NodeTest, AfterSigkillAnUnsafeCallThatWasOutIsNotRepeated) {
+TEST_F(NodeTest, AfterSigkillAnAtMostOnceCallInFlightIsNotRetried) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
@@ -303,32 +305,32 @@
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-/// Messages of a sequential class, all under one key.
-class InOrder : public NodeTest {
+/// Messages of a sequential class that all have the same key.
+class SequentialClass : public NodeTest {
 protected:
-    InOrder() {
+    SequentialClass() {
         node.config()["settings"]["classes"][0]["sequential"] = true;
         node.config()["settings"]["contract"]["settle_after_doubt_ms"] = 300;
     }
-    std::string enqueue_in_order(Client& client, const std::string& one) {
-        return client.ask(
-            {"ENQUEUE", "0006483caaef320d", one, "c=safe,t=acme,d=30000,k=5c0f6e1a2b3d4c59,dest=7", "BODY"});
+    std::string enqueue_in_order(Client& client, const std::string& message) {
+        return client.ask({"ENQUEUE", "0006483caaef320d", message,
+            "c=safe,t=acme,d=30000,k=5c0f6e1a2b3d4c59,dest=7", "BODY"});
     }
     const std::string other = "00000000000000aa";
 };
-TEST_F(InOrder, TheSecondWaitsForTheEndOfTheFirst) {
+TEST_F(SequentialClass, DelaysTheSecondMessageUntilTheFirstHasEnded) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue_in_order(client, id), "+OK");
     const Exchange first = target.next();
     ASSERT_EQ(enqueue_in_order(client, other), "+OK");
-    ASSERT_EQ(enqueue(client, "00000000000000bb", "keyed"), "+OK");  // is not bound
-    const Exchange unbound = target.next();
-    EXPECT_EQ(unbound.header("X-Call-Id"), "00000000000000bb");
+    ASSERT_EQ(enqueue(client, "00000000000000bb", "keyed"), "+OK");  // its class is not sequential
+    const Exchange unordered = target.next();
+    EXPECT_EQ(unordered.header("X-Call-Id"), "00000000000000bb");
     first.answer(200);
     EXPECT_EQ(target.next().header("X-Call-Id"), other);
 }
-TEST_F(InOrder, HoldsOverARestart) {
+TEST_F(SequentialClass, KeepsTheOrderAfterARestart) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue_in_order(client, id), "+OK");
@@ -343,7 +345,7 @@
     EXPECT_EQ(target.next().header("X-Call-Id"), other);
 }
 
-TEST_F(NodeTest, AfterSigkillAKeyedCallGoesAgainOnlyInsideItsWindow) {
+TEST_F(NodeTest, AfterSigkillADeduplicatedCallIsRetriedInsideItsWindow) {
     node.config()["settings"]["classes"][1]["window_ms"] = 20000;
     node.start_ready();
     Client client = node.client();
@@ -354,7 +356,7 @@
     node.start_ready();
     EXPECT_EQ(target.next().header("Idempotency-Key"), "5c0f6e1a2b3d4c59");
 }
-TEST_F(NodeTest, AfterSigkillAKeyedCallEndsWhereItsWindowIsOver) {
+TEST_F(NodeTest, AfterSigkillADeduplicatedCallEndsAfterItsWindow) {
     node.config()["settings"]["classes"][1]["window_ms"] = 300;
     node.start_ready();
     Client client = node.client();
@@ -375,8 +377,9 @@
     ASSERT_EQ(enqueue(client, id), "+OK");
     target.next().answer(200);
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");
-    const Exchange out = target.next();
-    EXPECT_EQ(out.header("X-Call-Id"), "00000000000000aa");  // so the first one's slot is free again
+    const Exchange in_flight = target.next();
+    EXPECT_EQ(
+        in_flight.header("X-Call-Id"), "00000000000000aa");  // shows that the first call no longer counts
     node.kill();
     node.wait();
     node.start_ready();
@@ -385,7 +388,7 @@
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-TEST_F(NodeTest, AfterSigkillAnOverdueMessageGetsItsNoticeAtOnce) {
+TEST_F(NodeTest, AfterSigkillAnExpiredMessageGetsItsNoticeAtOnce) {
     node.start_ready();
     {
         Client client = node.client();
@@ -393,12 +396,12 @@
     }
     node.kill();
     node.wait();
-    std::this_thread::sleep_for(1100ms);  // its time runs out meanwhile
+    std::this_thread::sleep_for(1100ms);  // its deadline passes in the meantime
     node.start_ready();
     EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
 }
 
-TEST_F(NodeTest, RepeatsANoticeUntilItIsConfirmed) {
+TEST_F(NodeTest, ResendsANoticeUntilItIsConfirmed) {
     node.start_ready();
     {
         Client client = node.client();
@@ -418,7 +421,7 @@
     EXPECT_TRUE(Journal(node.state(), 1 << 20).entries().empty());
 }
 
-TEST_F(NodeTest, AfterSigtermHandsClientsOnAndDeliversWhatItHolds) {
+TEST_F(NodeTest, AfterSigtermClosesClientsAndDeliversAcceptedMessages) {
     node.start_ready();
     Client idle = node.client();
     Client client = node.client();
@@ -426,10 +429,10 @@
     ASSERT_EQ(enqueue(client, id), "+OK");
     const Exchange call = target.next();
     node.terminate();
-    Client late = node.client();  // the front goes on dealing out connections for a moment
-    EXPECT_EQ(enqueue(late, "00000000000000aa"), "+OK");
+    Client new_client = node.client();  // new connections still arrive for a moment
+    EXPECT_EQ(enqueue(new_client, "00000000000000aa"), "+OK");
     EXPECT_TRUE(idle.ended());
-    EXPECT_TRUE(late.ended());
+    EXPECT_TRUE(new_client.ended());
     call.answer(200);
     target.next().answer(200);
     const int status = node.wait();
@@ -437,37 +440,38 @@
     EXPECT_TRUE(node.refuses());
 }
 
-// Bytes that come as a connection is closed between requests would reset it, and an answer not yet read would
-// go with it: its sending side is shut, and what comes then is read and passed over.
+// Bytes that arrive after a connection was closed between requests would reset it, and the client would lose
+// a reply that it has not read yet. So only the sending side is shut down, and later input is read and
+// discarded.
 TEST_F(NodeTest, AfterSigtermEndsConnectionsWithoutAReset) {
     node.start_ready();
-    Client idle = node.client(), asking = node.client();
+    Client idle = node.client(), partial = node.client();
     EXPECT_EQ(idle.ask({"PING"}), "+PONG");
-    asking.send("*5\r\n$7\r\nENQUEUE\r\n");  // midway, it is served first
+    partial.send("*5\r\n$7\r\nENQUEUE\r\n");  // a request in progress is completed first
     node.terminate();
     EXPECT_TRUE(idle.ended());
-    asking.send("$1\r\n0\r\n$16\r\n" + id + "\r\n$30\r\nc=unsafe,t=acme,d=9000,dest=99\r\n$1\r\nB\r\n");
-    EXPECT_EQ(asking.line(), "+OK");
-    EXPECT_TRUE(asking.ended());
-    for (Client* one : {&idle, &asking}) {
-        one->send("*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$16\r\n00000000000000aa\r\n$27\r\n");
-        one->send("c=safe,t=acme,d=9000,dest=7\r\n$1\r\nB\r\n");
-        EXPECT_TRUE(one->ended());
-        EXPECT_FALSE(one->reset());
+    partial.send("$1\r\n0\r\n$16\r\n" + id + "\r\n$30\r\nc=unsafe,t=acme,d=9000,dest=99\r\n$1\r\nB\r\n");
+    EXPECT_EQ(partial.line(), "+OK");
+    EXPECT_TRUE(partial.ended());
+    for (Client* closing : {&idle, &partial}) {
+        closing->send("*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$16\r\n00000000000000aa\r\n$27\r\n");
+        closing->send("c=safe,t=acme,d=9000,dest=7\r\n$1\r\nB\r\n");
+        EXPECT_TRUE(closing->ended());
+        EXPECT_FALSE(closing->reset());
     }
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-TEST_F(NodeTest, AfterSigtermEndsInTimeAndTakesUpTheRest) {
+TEST_F(NodeTest, AfterSigtermExitsInTimeAndDeliversTheRestAfterARestart) {
     node.config()["known"] = list(1, true, {});
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const auto begun = Clock::now();
+    const auto started_at = Clock::now();
     node.terminate();
     const int status = node.wait();
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
-    EXPECT_LT(Clock::now() - begun, 3700ms + kDeadline);
+    EXPECT_LT(Clock::now() - started_at, 3700ms + kDeadline);
     node.config()["known"] = list(1, true, {member("s-1", target.address(), 7)});
     node.start_ready();
     EXPECT_EQ(target.next().header("X-Call-Id"), id);
@@ -493,10 +497,10 @@
     EXPECT_TRUE(target.none_within(200ms));
 }
 
-// An entry that cannot be read, or of a kind unknown here, still says that its target is not to be used any
-// more: its revision counts as told, and it is never sent again.
-class PassedOver : public NodeTest, public ::testing::WithParamInterface<const char*> {};
-TEST_P(PassedOver, EndsTheUseOfItsTarget) {
+// An entry that is malformed or of an unknown kind still means that its endpoint must not be used any more:
+// its revision counts as received, and the entry is never sent again.
+class UnusableListEntry : public NodeTest, public ::testing::WithParamInterface<const char*> {};
+TEST_P(UnusableListEntry, EndsTheUseOfItsEndpoint) {
     HttpStub other;
     node.start_ready();
     tell(agent_request("/v1/servers"),
@@ -504,85 +508,87 @@
     tell(agent_request("/v1/servers?from=5"), list(6, false, {Json::parse(GetParam())}));
     agent_request("/v1/servers?from=6");
     Client client = node.client();
-    for (const std::string one : {"00000000000000a1", "00000000000000a2", "00000000000000a3"}) {
-        ASSERT_EQ(enqueue(client, one), "+OK");
+    for (const std::string message : {"00000000000000a1", "00000000000000a2", "00000000000000a3"}) {
+        ASSERT_EQ(enqueue(client, message), "+OK");
         const Exchange call = other.next();
-        EXPECT_EQ(call.header("X-Call-Id"), one);
+        EXPECT_EQ(call.header("X-Call-Id"), message);
         call.answer(200);
     }
     EXPECT_TRUE(target.none_within(0ms));
 }
-INSTANTIATE_TEST_SUITE_P(Discovery, PassedOver,
+INSTANTIATE_TEST_SUITE_P(Discovery, UnusableListEntry,
     ::testing::Values(R"({"id":"s-1","phase":"terminating"})", R"({"id":"s-1","phase":7,"cell":7})",
         R"({"id":"s-1","phase":"terminating","cell":7,"flavor":"market","host_port":"127.0.0.1:9"})",
         R"({"id":"s-1","phase":"in_service","cell":7,"flavor":"shop","host_port":"nowhere"})"));
 
-// Many forwarders that start at once must not all want the whole list, nor come again in step. What is known
-// is enough where all of it could be read.
-TEST_F(NodeTest, AsksForChangesOfTheKnownListAndBacksOff) {
-    node.config()["settings"]["n_instances"] = 4;  // a turn of all takes 200 ms
+// Many forwarders that start at the same time must not all request the whole list, nor retry in step. The
+// known list of the configuration suffices if all of it could be read.
+TEST_F(NodeTest, RequestsChangesOfTheKnownListAndBacksOff) {
+    node.config()["settings"]["n_instances"] = 4;  // one round of calls by all forwarders takes 200 ms
     node.start_ready();
-    const auto begin = Clock::now();
+    const auto started_at = Clock::now();
     for (int i = 0; i < 4; ++i) {
         const Exchange watch = agent_request("/v1/servers");
         EXPECT_EQ(std::string(watch.request.target()).substr(0, 18), "/v1/servers?from=1");
         watch.answer(503);
     }
-    EXPECT_GE(Clock::now() - begin, 700ms);  // half of 200, 400 and 800 ms at least
+    EXPECT_GE(Clock::now() - started_at, 700ms);  // half of 200, 400 and 800 ms at least
 }
 
-// A change counts as told 6 s after the agent had it at the latest, and 4 s after a move to another agent;
-// what drains binds 2 s later. Each path is added up at its worst.
-TEST(Turns, OfALargeFleetLeaveTimeForTheRuleOnDrains) {
-    constexpr auto no_answer = CallSchedule::kFirstWatchHold + CallSchedule::kFirstWatchMargin,
-                   no_whole_list = CallSchedule::kListTimeout;
-    constexpr auto fallen_silent = CallSchedule::kWatchHold + CallSchedule::kWatchMargin;
+// A forwarder counts as informed of a change at the latest 6 s after the agent had it, and 4 s after a move
+// to another agent; a drain becomes binding 2 s later. Each bound is checked against the sum of the worst
+// delays.
+TEST(CallScheduleTest, MeetsTheDrainBoundsForLargeFleets) {
+    constexpr auto first_watch_timeout = CallSchedule::kFirstWatchHold + CallSchedule::kFirstWatchMargin,
+                   list_timeout = CallSchedule::kListTimeout;
+    constexpr auto watch_timeout = CallSchedule::kWatchHold + CallSchedule::kWatchMargin;
     for (const std::size_t forwarders : {std::size_t(3), std::size_t(300), std::size_t(1) << 60}) {
-        auto first = 0ms, moved = 0ms, pause = 0ms, silence = 0ms;
+        auto first_call = 0ms, move = 0ms, failure = 0ms, timeout = 0ms;
         for (std::uint64_t seed = 0; seed < 300; ++seed) {
-            CallSchedule turns(forwarders, seed);
-            first = std::max(first, turns.first_call_delay());
-            moved = std::max(moved, turns.move_delay());
+            CallSchedule schedule(forwarders, seed);
+            first_call = std::max(first_call, schedule.first_call_delay());
+            move = std::max(move, schedule.move_delay());
             for (int failures = 1; failures < 9; ++failures) {
-                pause = std::max(pause, turns.failure_delay(failures));
-                silence = std::max(silence, turns.timeout_delay(failures));
+                failure = std::max(failure, schedule.failure_delay(failures));
+                timeout = std::max(timeout, schedule.timeout_delay(failures));
             }
         }
-        EXPECT_LE(fallen_silent + silence + no_answer + silence, 6000ms) << forwarders;
-        EXPECT_LE(first + no_answer + silence, 4000ms) << forwarders;
-        EXPECT_LE(moved + no_whole_list + silence, 4000ms) << forwarders;
-        // the agent may have something to tell meanwhile, or from the first moment
-        EXPECT_LE(std::max(pause, first), 1000ms) << forwarders;
+        EXPECT_LE(watch_timeout + timeout + first_watch_timeout + timeout, 6000ms) << forwarders;
+        EXPECT_LE(first_call + first_watch_timeout + timeout, 4000ms) << forwarders;
+        EXPECT_LE(move + list_timeout + timeout, 4000ms) << forwarders;
+        // the agent may have a change to send during the delay, or from the start
+        EXPECT_LE(std::max(failure, first_call), 1000ms) << forwarders;
         if (forwarders > 3) {
-            EXPECT_GT(std::min({first, moved, pause}), 900ms) << forwarders;  // and are spread
+            // the calls of a large fleet are spread
+            EXPECT_GT(std::min({first_call, move, failure}), 900ms) << forwarders;
         } else {
-            EXPECT_LE(std::max(first, moved), 150ms);
+            EXPECT_LE(std::max(first_call, move), 150ms);
         }
     }
 }
 
-// calm+brink, join+mass: a watch that was answered before falls silent, and a call after it gets no answer
-// either. What the agent has counts as told 6 s later.
-TEST_F(NodeTest, AsksAnewInTimeWhereItsWatchFallsSilent) {
+// A watch on a connection that worked before gets no response, and neither does the next call. The forwarder
+// counts as informed of the agent's changes 6 s later.
+TEST_F(NodeTest, RepeatsAWatchInTimeWhenItGetsNoResponse) {
     HttpStub other;
     node.config()["settings"]["n_instances"] = 350;
     node.start_ready();
     tell(agent_request("/v1/servers"), list(2, false, {}));
     const Exchange silent = agent_request("/v1/servers?from=2");
-    const auto begin = Clock::now();
-    const Exchange silent_too = agent_request("/v1/servers?from=2");
+    const auto started_at = Clock::now();
+    const Exchange second_silent = agent_request("/v1/servers?from=2");
     tell(agent_request("/v1/servers?from=2"),
         list(3, false,
             {member("s-1", target.address(), 7, "terminating"), member("s-2", other.address(), 7)}));
     agent_request("/v1/servers?from=3");
-    EXPECT_LT(Clock::now() - begin, 6000ms);
+    EXPECT_LT(Clock::now() - started_at, 6000ms);
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     EXPECT_EQ(other.next().header("X-Call-Id"), id);
 }
 
-TEST_F(NodeTest, AsksInTimeHoweverLargeItsFleet) {
-    node.config()["settings"]["n_instances"] = 100'000;  // a turn of all takes more than an hour
+TEST_F(NodeTest, CallsDiscoveryInTimeInAHugeFleet) {
+    node.config()["settings"]["n_instances"] = 100'000;  // one round by all takes more than an hour
     node.start_ready();
     agent_request("/v1/servers").answer(503);
     agent_request("/v1/servers").answer(503);
@@ -591,39 +597,39 @@
         std::string(agent_request("/v1/servers").request.target()).starts_with("/v1/servers?from=2&"));
 }
 
-TEST_F(NodeTest, AsksForTheWholeListWhereWhatIsKnownCannotAllBeRead) {
+TEST_F(NodeTest, RequestsTheWholeListWhenTheKnownListHasMalformedEntries) {
     node.config()["known"]["members"].push_back({{"id", 5}});
     node.start_ready();
     EXPECT_EQ(agent_request("/v1/servers").request.target(), "/v1/servers");
 }
 
-TEST_F(NodeTest, ReconnectsToDiscoveryThatIsSilentOrOdd) {
+TEST_F(NodeTest, ReconnectsToSilentOrMalformedDiscovery) {
     node.config()["known"]["complete"] = false;
     node.start_ready();
-    agent_request("/v1/servers");  // never answered
+    agent_request("/v1/servers");  // gets no response
     agent_request("/v1/servers").hang_up();
     agent_request("/v1/servers").write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"re");
     agent_request("/v1/servers").write("no HTTP at all\r\n\r\n");
     tell(agent_request("/v1/servers"), Json::array());
     tell(agent_request("/v1/servers"), list(2, false, {}));
-    EXPECT_EQ(agent_request("/v1/servers").request.target(), "/v1/servers");  // still wants the whole list
+    EXPECT_EQ(agent_request("/v1/servers").request.target(), "/v1/servers");  // still requests the whole list
     Client client = node.client();
-    ASSERT_EQ(enqueue(client, id), "+OK");  // and goes on with the list that it has
+    ASSERT_EQ(enqueue(client, id), "+OK");  // and continues with the list that it has
     EXPECT_EQ(target.next().header("X-Call-Id"), id);
 }
 
-// ---- bad input ----
+// ---- malformed input and limits ----
 
-// The module uses no notes so far; what comes in must do no harm all the same.
-TEST_F(NodeTest, LivesThroughOddDatagrams) {
+// The decision module does not use messages from peers so far, but malformed datagrams must do no harm.
+TEST_F(NodeTest, SurvivesMalformedDatagrams) {
     asio::io_context io;
     Udp::socket peer(io, {asio::ip::address_v4::loopback(), 0});
-    const Udp::endpoint listens = Udp::socket(io, {node.address().address(), 0}).local_endpoint();
-    node.config()["peer_listen"] = listens.address().to_string() + ":" + std::to_string(listens.port());
+    const Udp::endpoint listener = Udp::socket(io, {node.address().address(), 0}).local_endpoint();
+    node.config()["peer_listen"] = listener.address().to_string() + ":" + std::to_string(listener.port());
     node.config()["peers"] = {"127.0.0.1:" + std::to_string(peer.local_endpoint().port())};
     node.start_ready();
     for (const std::size_t size : {0, 1, 256, 257, 9000})
-        peer.send_to(asio::buffer(std::string(size, '\xff')), listens);
+        peer.send_to(asio::buffer(std::string(size, '\xff')), listener);
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     target.next().answer(200);
@@ -641,7 +647,7 @@
     EXPECT_TRUE(clients.front().ended());
 }
 
-TEST_F(NodeTest, EndsABadStartWithOnePlainLine) {
+TEST_F(NodeTest, ReportsAFailedStartInOneLogLine) {
     node.config()["settings"]["family_info"].erase("slots");
     node.start();
     const int status = node.wait();
