--- a/tests/endpoint_directory_test.cpp
+++ b/tests/endpoint_directory_test.cpp
@@ -14,21 +14,21 @@
 using Gone = std::set<EndpointId>;
 using namespace std::chrono_literals;
 
-EndpointRecord target(
+EndpointRecord record(
     const std::string& id, std::int64_t destination, Condition condition = Condition::Ready) {
-    EndpointRecord target;
-    target.id = id;
-    target.destination = destination;
-    target.condition = condition;
-    return target;
+    EndpointRecord record;
+    record.id = id;
+    record.destination = destination;
+    record.condition = condition;
+    return record;
 }
 
 class DirectoryTest : public ::testing::Test {
 protected:
-    Gone whole(std::vector<EndpointRecord> targets) {
+    Gone apply_full(std::vector<EndpointRecord> targets) {
         return directory.apply({1, true, std::move(targets)}, now);
     }
-    Gone changes(std::vector<EndpointRecord> targets) {
+    Gone apply_delta(std::vector<EndpointRecord> targets) {
         return directory.apply({1, false, std::move(targets)}, now);
     }
 
@@ -36,57 +36,57 @@
     EndpointDirectory::Clock::time_point now = EndpointDirectory::Clock::now();
 };
 
-// An outcome may still name the old number: it must not count for another target.
-TEST_F(DirectoryTest, NeverUsesANumberTwice) {
-    changes({target("a", 1)});
+// An outcome may still refer to the old id and must not count for another endpoint.
+TEST_F(DirectoryTest, NeverReusesAnId) {
+    apply_delta({record("a", 1)});
     const EndpointId first = *directory.find("a");
-    EXPECT_EQ(changes({target("a", 1, Condition::Removed)}), Gone{first});
+    EXPECT_EQ(apply_delta({record("a", 1, Condition::Removed)}), Gone{first});
     directory.forget(first);
     EXPECT_FALSE(directory.find("a"));
     EXPECT_EQ(directory.name_of(first), nullptr);
-    changes({target("b", 1), target("a", 1)});
+    apply_delta({record("b", 1), record("a", 1)});
     EXPECT_NE(*directory.find("a"), first);
     EXPECT_NE(*directory.find("b"), first);
 }
 
-TEST_F(DirectoryTest, ForgetsNoneThatIsListedAgain) {
-    changes({target("a", 1)});
-    changes({target("a", 1, Condition::Removed)});
-    changes({target("a", 1)});
+TEST_F(DirectoryTest, KeepsAnEndpointThatIsListedAgain) {
+    apply_delta({record("a", 1)});
+    apply_delta({record("a", 1, Condition::Removed)});
+    apply_delta({record("a", 1)});
     directory.forget(*directory.find("a"));
     EXPECT_TRUE(directory.find("a"));
 }
 
-TEST_F(DirectoryTest, TellsWhatAWholeListLeavesOut) {
-    whole({target("a", 1), target("b", 2)});
-    EXPECT_EQ(whole({target("b", 2)}), Gone{*directory.find("a")});
-    EXPECT_EQ(changes({}), Gone{});
-    EXPECT_EQ(changes({target("never", 3, Condition::Removed)}), Gone{});
+TEST_F(DirectoryTest, ReturnsEndpointsThatAFullListOmits) {
+    apply_full({record("a", 1), record("b", 2)});
+    EXPECT_EQ(apply_full({record("b", 2)}), Gone{*directory.find("a")});
+    EXPECT_EQ(apply_delta({}), Gone{});
+    EXPECT_EQ(apply_delta({record("never", 3, Condition::Removed)}), Gone{});
     EXPECT_FALSE(directory.find("never"));
 }
 
-// While its targets are replaced a destination may have none; one that was never listed does not exist.
-TEST_F(DirectoryTest, KnowsADestinationForAWhile) {
+// A destination may have no endpoints while they are replaced. One that was never listed does not exist.
+TEST_F(DirectoryTest, KeepsAnEmptyDestinationForAWhile) {
     EXPECT_TRUE(directory.empty());
-    changes({target("a", 1), target("b", 2, Condition::Draining)});
+    apply_delta({record("a", 1), record("b", 2, Condition::Draining)});
     EXPECT_FALSE(directory.empty());
     EXPECT_TRUE(directory.has_destination(1, now));
     EXPECT_TRUE(directory.has_destination(2, now));
     EXPECT_FALSE(directory.has_destination(-1, now));
-    changes({target("a", 2)});
+    apply_delta({record("a", 2)});
     EXPECT_TRUE(directory.has_destination(1, now));
     EXPECT_FALSE(directory.has_destination(1, now + 24h));
     EXPECT_TRUE(directory.has_destination(2, now + 24h));
 }
 
-// What is compared while a list arrives: an entry that says nothing new, and what it has not named.
+// Comparison with an arriving list finds unchanged entries and endpoints that the list does not name.
 TEST_F(DirectoryTest, ComparesAListThatArrives) {
-    whole({target("a", 1), target("b", 2), target("c", 3)});
+    apply_full({record("a", 1), record("b", 2), record("c", 3)});
     directory.begin_comparison();
-    EXPECT_TRUE(directory.compare(target("a", 1)));
-    EXPECT_FALSE(directory.compare(target("b", 2, Condition::Draining)));
-    EXPECT_FALSE(directory.compare(target("new", 2)));
-    EXPECT_TRUE(directory.compare(target("never", 2, Condition::Removed)));
+    EXPECT_TRUE(directory.compare(record("a", 1)));
+    EXPECT_FALSE(directory.compare(record("b", 2, Condition::Draining)));
+    EXPECT_FALSE(directory.compare(record("new", 2)));
+    EXPECT_TRUE(directory.compare(record("never", 2, Condition::Removed)));
     EXPECT_EQ(directory.size(), 3u);
     std::optional<EndpointId> from = 0;
     EXPECT_TRUE(directory.missing(from, 2).empty());
@@ -104,7 +104,7 @@
 
 class ListReaderTest : public ::testing::Test {
 protected:
-    /// In pieces of so many bytes.
+    /// Feeds the text to a reader in pieces of the given number of bytes.
     ListReader::Head read(const std::string& text, std::size_t piece, ListLimits limits = ample()) {
         targets.clear();
         ListReader reader(limits, [this](EndpointRecord target) { targets.push_back(std::move(target)); });
@@ -114,8 +114,8 @@
     std::vector<EndpointRecord> targets;
 };
 
-// However the bytes come, it says what the same text says as one value.
-TEST_F(ListReaderTest, ReadsWhatIsReadAtOnce) {
+// The result equals that of parsing the whole text, however the bytes are divided.
+TEST_F(ListReaderTest, ReadsTheSameAsTheParserOfWholeTexts) {
     Json odd = member("s-\"[{,\\", "10.1.0.18:6379", 3);
     odd["notes"] = {{"list", {1, "]}", Json::object()}}};
     const Json told{
@@ -141,7 +141,7 @@
     EXPECT_TRUE(targets.empty());
 }
 
-TEST_F(ListReaderTest, RefusesATextThatIsCutAnywhere) {
+TEST_F(ListReaderTest, RejectsATextThatIsTruncatedAnywhere) {
     const std::string whole =
         list(41, true, {member("s-1", "10.1.0.17:1", 1), member("s-2", "10.1.0.17:2", 2)}).dump();
     read(whole, 11);
@@ -150,7 +150,7 @@
         EXPECT_ANY_THROW(read(whole.substr(0, cut), 11)) << cut;
 }
 
-TEST_F(ListReaderTest, RefusesWhatIsSpoilt) {
+TEST_F(ListReaderTest, RejectsMalformedText) {
     const std::string one = member("s-1", "10.1.0.17:1", 1).dump();
     const auto with = [](const std::string& members) {
         return R"({"revision":41,"complete":true,"members":[)" + members + "]}";
@@ -166,8 +166,8 @@
     EXPECT_ANY_THROW(read(with(one) + "x", 5));
 }
 
-// None of them may hold memory, or go on for ever.
-TEST_F(ListReaderTest, RefusesWhatNeverEnds) {
+// Endless input must neither exhaust memory nor be read for ever.
+TEST_F(ListReaderTest, RejectsEndlessText) {
     const std::string start = R"({"revision":41,"complete":true,"members":[)";
     const std::string one = member("s-1", "10.1.0.17:1", 1).dump() + ",";
     for (const std::string& rest :
@@ -194,57 +194,58 @@
     EXPECT_EQ(list_limits(mb, 1'000'000).entries, 20'000u);
 }
 
-// ---- what it changes, in slices ----
+// ---- the changes of a long list, in batches ----
 
 class ListUpdateTest : public DirectoryTest {
 protected:
     static std::string name(std::size_t number) { return "s-" + std::to_string(number); }
     static std::vector<EndpointRecord> many(std::size_t count) {
         std::vector<EndpointRecord> all;
-        for (std::size_t i = 0; i < count; ++i) all.push_back(target(name(i), static_cast<int>(i)));
+        for (std::size_t i = 0; i < count; ++i) all.push_back(record(name(i), static_cast<int>(i)));
         return all;
     }
-    /// All slices, each told to the directory.
+    /// Applies all batches to the directory and returns those that are not empty.
     std::vector<std::vector<EndpointRecord>> update(
         const std::vector<EndpointRecord>& arrived, bool complete = true) {
         ListUpdate update(directory);
         for (const EndpointRecord& one : arrived) update.take(one);
         update.finish(complete);
-        std::vector<std::vector<EndpointRecord>> slices;
-        while (const auto slice = update.next()) {
-            EXPECT_LE(slice->endpoints.size(), ListUpdate::kMaxBatchEntries);
-            EXPECT_FALSE(slice->complete);
-            directory.apply(*slice, now);
-            if (!slice->endpoints.empty()) slices.push_back(slice->endpoints);
+        std::vector<std::vector<EndpointRecord>> batches;
+        while (const auto batch = update.next()) {
+            EXPECT_LE(batch->endpoints.size(), ListUpdate::kMaxBatchEntries);
+            EXPECT_FALSE(batch->complete);
+            directory.apply(*batch, now);
+            if (!batch->endpoints.empty()) batches.push_back(batch->endpoints);
         }
-        return slices;
+        return batches;
     }
 };
 
-TEST_F(ListUpdateTest, TellsAFirstListInSlices) {
-    const auto slices = update(many(3000));
-    EXPECT_GE(slices.size(), 3000 / ListUpdate::kMaxBatchEntries);
+TEST_F(ListUpdateTest, ReturnsAFirstListInBatches) {
+    const auto batches = update(many(3000));
+    EXPECT_GE(batches.size(), 3000 / ListUpdate::kMaxBatchEntries);
     EXPECT_EQ(directory.size(), 3000u);
     EXPECT_TRUE(directory.has_destination(2999, now));
 }
 
-TEST_F(ListUpdateTest, TellsNothingOfARepeatedList) {
+TEST_F(ListUpdateTest, ReturnsNothingForARepeatedList) {
     update(many(3000));
     EXPECT_TRUE(update(many(3000)).empty());
     EXPECT_TRUE(update({}, false).empty());
     EXPECT_EQ(directory.size(), 3000u);
 }
 
-// A drain has 2 s from the telling: it must not wait behind hundreds of thousands of new targets.
-TEST_F(ListUpdateTest, TellsDrainsAndWhatHasGoneFirst) {
+// Calls to a draining endpoint must end within 2 s: its entry must not wait behind hundreds of thousands of
+// new endpoints.
+TEST_F(ListUpdateTest, ReturnsDrainingAndRemovedEndpointsFirst) {
     update(many(3000));
     std::vector<EndpointRecord> next;
-    for (std::size_t i = 2000; i < 6000; ++i) next.push_back(target(name(i), static_cast<int>(i)));
+    for (std::size_t i = 2000; i < 6000; ++i) next.push_back(record(name(i), static_cast<int>(i)));
     next[999].condition = Condition::Draining;
-    next.push_back(target(name(5999), 5999, Condition::Draining));  // the later entry holds
+    next.push_back(record(name(5999), 5999, Condition::Draining));  // the later entry holds
     std::vector<Condition> order;
-    for (const auto& slice : update(next))
-        for (const EndpointRecord& one : slice) order.push_back(one.condition);
+    for (const auto& batch : update(next))
+        for (const EndpointRecord& one : batch) order.push_back(one.condition);
     ASSERT_EQ(order.size(), 2u + 2000u + 2999u);
     EXPECT_EQ(std::count(order.begin(), order.begin() + 2, Condition::Draining), 2);
     EXPECT_EQ(std::count(order.begin() + 2, order.begin() + 2002, Condition::Removed), 2000);
@@ -254,12 +255,12 @@
     EXPECT_EQ(directory.record_of(name(5999))->condition, Condition::Draining);
 }
 
-TEST_F(ListUpdateTest, OneThatIsDroppedChangesNothing) {
-    whole(many(10));
+TEST_F(ListUpdateTest, ADroppedUpdateChangesNothing) {
+    apply_full(many(10));
     {
         ListUpdate dropped(directory);
-        dropped.take(target(name(1), 1, Condition::Draining));
-        dropped.take(target("new", 5));
+        dropped.take(record(name(1), 1, Condition::Draining));
+        dropped.take(record("new", 5));
     }
     EXPECT_EQ(directory.size(), 10u);
     EXPECT_FALSE(directory.find("new"));
@@ -267,25 +268,26 @@
     EXPECT_TRUE(update(many(10)).empty());
 }
 
-// ---- a forwarder that is told one ----
+// ---- a forwarder that receives a long list ----
 
-// Of as many targets as the largest fleet has destinations. Only a few are real: the others get no message.
+// A list with as many endpoints as the largest fleet has destinations. Only a few are real; the others get no
+// message.
 class HugeList : public NodeTest {
 protected:
-    // Above the limits there once were (20,000 entries read, 100,000 held) and above the 20,000 that are
-    // handed over by name; the whole size of the capacity page only where reading it is not slowed tenfold.
+    // Above former limits (20,000 entries read, 100,000 held) and above the 20,000 endpoints that a handover
+    // names. Sanitizer builds, which read the list ten times as slowly, use a smaller one.
 #ifdef __SANITIZE_ADDRESS__
-    static constexpr int kTargets = 30'000;
+    static constexpr int kEndpoints = 30'000;
 #else
-    static constexpr int kTargets = 310'000;
+    static constexpr int kEndpoints = 310'000;
 #endif
 
     HugeList() {
         node.config()["limits"]["memory_mb"] = 256;
         node.config()["known"] = list(1, true, {member("s-1", target.address(), 7)});
     }
-    /// s-1 of destination 7 among many; `phase` is its own.
-    std::string huge(int revision, const char* phase = "in_service", int most = kTargets) {
+    /// A list of many endpoints and s-1 of destination 7, which has the given phase.
+    std::string huge_list(int revision, const char* phase = "in_service", int most = kEndpoints) {
         std::string text = "{\"revision\":" + std::to_string(revision) + ",\"complete\":true,\"members\":[";
         for (int i = 0; i < most; ++i)
             text += R"({"id":"t-)" + std::to_string(i) +
@@ -293,7 +295,7 @@
                     std::to_string(1000 + i) + R"(,"phase":"in_service","size":1.0,"up_since_ms":0},)";
         return text + member("s-1", target.address(), 7, phase).dump() + "]}";
     }
-    static void tell_text(const Exchange& watch, const std::string& body) {
+    static void send_list(const Exchange& watch, const std::string& body) {
         watch.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     }
     void expect_delivered(const std::string& one) {
@@ -313,44 +315,44 @@
 
 TEST_F(HugeList, IsTakenWhole) {
     node.start_ready();
-    tell_text(agent_request("/v1/servers?from=1"), huge(2));
+    send_list(agent_request("/v1/servers?from=1"), huge_list(2));
     const Exchange watch = agent_request("/v1/servers?from=2");
     EXPECT_EQ(lines_with("discovery:"), 0u) << node.log();
     Client client = node.client();
-    EXPECT_EQ(enqueue(client, "00000000000000b1", "safe", 30000, "B", 1000 + kTargets - 1), "+OK");
-    EXPECT_EQ(
-        enqueue(client, "00000000000000b2", "safe", 30000, "B", 1000 + kTargets), "-ERR unknown destination");
+    EXPECT_EQ(enqueue(client, "00000000000000b1", "safe", 30000, "B", 1000 + kEndpoints - 1), "+OK");
+    EXPECT_EQ(enqueue(client, "00000000000000b2", "safe", 30000, "B", 1000 + kEndpoints),
+        "-ERR unknown destination");
     expect_delivered(id);
 }
 
 TEST_F(HugeList, EndsWhatItLeavesOutAndASmallOneEndsItsOwn) {
     node.start_ready();
     constexpr int few = 5000;
-    tell_text(agent_request("/v1/servers?from=1"), huge(2, "terminating", few));
+    send_list(agent_request("/v1/servers?from=1"), huge_list(2, "terminating", few));
     const Exchange watch = agent_request("/v1/servers?from=2");
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    EXPECT_TRUE(target.none_within(200ms));  // its target drains
+    EXPECT_TRUE(target.none_within(200ms));  // its endpoint drains
     tell(watch, list(3, true, {member("s-2", target.address(), 7)}));
     EXPECT_EQ(target.next().header("X-Call-Id"), id);
     const Exchange next = agent_request("/v1/servers?from=3");
     EXPECT_EQ(lines_with("discovery:"), 0u) << node.log();
 }
 
-// Cut off, spoilt in the middle, or without an end: refused as a whole with one line, the list in force
-// stays.
-TEST_F(HugeList, OneThatIsCutOrSpoiltChangesNothing) {
+// A list that is truncated, malformed in the middle or without an end is rejected as a whole with one log
+// line, and the list in force stays.
+TEST_F(HugeList, ATruncatedOrMalformedListChangesNothing) {
     node.start_ready();
     constexpr int few = 5000;
-    const std::string whole = huge(2, "terminating", few);
+    const std::string whole = huge_list(2, "terminating", few);
     const Exchange cut = agent_request("/v1/servers?from=1");
     cut.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(whole.size()) + "\r\n\r\n" +
               whole.substr(0, whole.size() / 2));
     cut.hang_up();
-    std::string spoilt = whole;
-    spoilt[spoilt.size() / 2] = '\x01';
-    tell_text(agent_request("/v1/servers?from=1"), spoilt);
-    tell_text(agent_request("/v1/servers?from=1"), whole.substr(0, whole.size() - 1));
+    std::string malformed = whole;
+    malformed[malformed.size() / 2] = '\x01';
+    send_list(agent_request("/v1/servers?from=1"), malformed);
+    send_list(agent_request("/v1/servers?from=1"), whole.substr(0, whole.size() - 1));
     const Exchange next = agent_request("/v1/servers?from=1");
     EXPECT_EQ(lines_with("discovery: a list refused after"), 2u) << node.log();
     EXPECT_EQ(lines_with("discovery: an unreadable list"), 1u) << node.log();
@@ -358,8 +360,8 @@
     expect_delivered(id);
 }
 
-// Whatever length its header tells, it takes no memory before it comes, and asking goes on.
-TEST_F(HugeList, AToldLengthTakesNoMemory) {
+// Memory is allocated only for bytes that arrive, whatever length the header states, and requests go on.
+TEST_F(HugeList, AnAnnouncedLengthAllocatesNoMemory) {
     node.start_ready();
     const Exchange watch = agent_request("/v1/servers?from=1");
     watch.write("HTTP/1.1 200 OK\r\nContent-Length: 4611686018427387904\r\n\r\n{\"revision\"");
@@ -368,7 +370,7 @@
     agent_request("/v1/servers?from=2");
 }
 
-TEST_F(HugeList, OneWithoutAnEndIsRefused) {
+TEST_F(HugeList, AnEndlessListIsRejected) {
     node.config()["limits"]["memory_mb"] = 32;
     node.start_ready();
     const Exchange watch = agent_request("/v1/servers?from=1");
@@ -381,11 +383,11 @@
     expect_delivered(id);
 }
 
-// Another agent takes the place of the one whose long list is still being told.
-TEST_F(HugeList, AMoveMeanwhileAsksTheNewAgent) {
+// The agent is replaced while its long list is still being applied.
+TEST_F(HugeList, AChangeOfAgentsDuringAnUpdateAsksTheNewAgent) {
     HttpStub other;
     node.start_ready();
-    tell_text(agent_request("/v1/servers?from=1"), huge(2));
+    send_list(agent_request("/v1/servers?from=1"), huge_list(2));
     Json moved = node.config();
     moved["discovery"] = other.address();
     node.reload(moved.dump());
@@ -396,11 +398,11 @@
     expect_delivered(id);
 }
 
-// So many are not handed over by name: the process that takes over asks the agent, and until it has answered
-// a destination that is not known here may exist.
+// A list of this size is not part of the handover: the new process requests it from the agent, and until the
+// response arrives an unknown destination may exist.
 class HugeHandover : public HugeList {
 protected:
-    static bool says_yes(const Tcp::endpoint& management) {
+    static bool becomes_ready(const Tcp::endpoint& management) {
         const auto until = Clock::now() + kDeadline;
         while (operate(management, "GET", "/ready") != 200)
             if (Clock::now() > until) return false;
@@ -422,18 +424,18 @@
     node.hold_listener();
     node.config()["management"] = text_of(before);
     node.start_ready();
-    tell_text(agent_request("/v1/servers?from=1"), huge(2));
+    send_list(agent_request("/v1/servers?from=1"), huge_list(2));
     agent_request("/v1/servers?from=2");
     node.start_beside(after);
-    ASSERT_TRUE(says_yes(after)) << node.log();
+    ASSERT_TRUE(becomes_ready(after)) << node.log();
     const Exchange first = next_request_except_watches();
     EXPECT_EQ(first.request.target(), "/v1/servers");
     Client client = node.client();
     EXPECT_TRUE(
-        enqueue(client, "00000000000000b1", "safe", 30000, "B", 1000 + kTargets - 1).starts_with("-BUSY"));
-    tell_text(first, huge(2));
+        enqueue(client, "00000000000000b1", "safe", 30000, "B", 1000 + kEndpoints - 1).starts_with("-BUSY"));
+    send_list(first, huge_list(2));
     const Exchange watch = agent_request("/v1/servers?from=2");
-    EXPECT_EQ(enqueue(client, "00000000000000b2", "safe", 30000, "B", 1000 + kTargets - 1), "+OK");
+    EXPECT_EQ(enqueue(client, "00000000000000b2", "safe", 30000, "B", 1000 + kEndpoints - 1), "+OK");
     expect_delivered(id);
 }
 
