--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -8,59 +8,63 @@
 namespace cometspoke::testing {
 namespace {
 
-// Feeds arbitrary legal event sequences (random outcomes, no model of servers) and asserts the rules that can
-// be seen from the Sender's own events and actions.
-class World {
+// Feeds a Sender with arbitrary legal event sequences (random outcomes, no model of endpoints) and asserts
+// the rules that can be checked by the events and actions alone.
+class RandomEventTest {
 public:
-    explicit World(std::uint64_t seed) : random_(seed), settings_(make_settings()), sender_(settings_, seed) {
-        for (EndpointId id = 0; id < kEndpoints; ++id) list(id, Condition::Ready);
+    explicit RandomEventTest(std::uint64_t seed)
+        : random_(seed), settings_(make_settings()), sender_(settings_, seed) {
+        for (EndpointId id = 0; id < kEndpoints; ++id) update_endpoint(id, Condition::Ready);
     }
 
     void run(int steps) {
         for (int i = 0; i < steps; ++i) {
-            now_ += ms(1 + static_cast<std::int64_t>(pick(40)));
+            now_ += ms(1 + static_cast<std::int64_t>(random_index(40)));
             if (chance(0.5)) arrive();
-            if (chance(0.02)) list(static_cast<EndpointId>(pick(kEndpoints)), condition());
-            while (!out_.empty() && chance(0.35)) finish();
+            if (chance(0.02)) update_endpoint(static_cast<EndpointId>(random_index(kEndpoints)), condition());
+            while (!open_attempts_.empty() && chance(0.35)) finish_attempt();
             sender_.observe(TimerFired{}, now_);
             for (const Action& action : sender_.decide(now_))
-                std::visit([this](const auto& a) { act(a); }, action);
-            overdue();
+                std::visit([this](const auto& a) { handle(a); }, action);
+            check_deadlines();
         }
-        EXPECT_GT(sends_, steps / 20);
+        EXPECT_GT(send_count_, steps / 20);
     }
     const std::vector<std::string>& trace() const { return trace_; }
 
 private:
     static constexpr EndpointId kEndpoints = 9;
-    struct Told {
+    struct MessageRecord {
         MessageEvent event;
         Time deadline{0};
-        bool over = false;
+        bool ended = false;
         std::uint32_t attempts = 0;
-        int out = 0;
-        std::optional<Time> doubt;
+        int open_attempts = 0;
+        std::optional<Time> ambiguous_since;
     };
-    struct Out {
+    struct OpenAttempt {
         MessageId message;
         EndpointId endpoint;
         std::uint32_t attempt;
         Time sent;
     };
 
-    std::size_t pick(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(random_); }
-    bool chance(double p) { return std::bernoulli_distribution(p)(random_); }
+    std::size_t random_index(std::size_t count) {
+        return std::uniform_int_distribution<std::size_t>(0, count - 1)(random_);
+    }
+    bool chance(double probability) { return std::bernoulli_distribution(probability)(random_); }
     Condition condition() {
         return std::array{
-            Condition::Ready, Condition::Ready, Condition::Draining, Condition::Removed}[pick(4)];
+            Condition::Ready, Condition::Ready, Condition::Draining, Condition::Removed}[random_index(4)];
     }
     static DestinationId destination_of(EndpointId id) { return id / 3; }
-    // the wait binds the destination, or the endpoint where its kind (1) has routes apart
-    static std::int64_t route_of(EndpointId id) {
+    // A retry-after applies to the destination, or to the endpoint if limits of its kind (1) apply per
+    // endpoint.
+    static std::int64_t limit_id_of(EndpointId id) {
         return destination_of(id) == 1 ? 100 + id : destination_of(id);
     }
 
-    void list(EndpointId id, Condition condition) {
+    void update_endpoint(EndpointId id, Condition condition) {
         ListEvent event;
         event.kind = ListUpdateKind::Delta;
         event.entries.push_back(
@@ -70,124 +74,133 @@
     }
     void arrive() {
         MessageEvent event;
-        event.message = ++last_;
-        event.destination = static_cast<DestinationId>(pick(3));
-        event.message_class = pick(4);
-        if (event.message_class == kSequential) event.key = pick(5);
+        event.message = ++last_message_;
+        event.destination = static_cast<DestinationId>(random_index(3));
+        event.message_class = random_index(4);
+        if (event.message_class == kSequential) event.key = random_index(5);
         if (chance(0.5)) event.tenant = 0;
-        event.time_left = ms(200 + static_cast<std::int64_t>(pick(9000)));
-        told_[event.message] = {event, now_ + event.time_left, false, 0, 0, std::nullopt};
-        if (event.key) lines_[*event.key].push_back(event.message);
+        event.time_left = ms(200 + static_cast<std::int64_t>(random_index(9000)));
+        records_[event.message] = {event, now_ + event.time_left, false, 0, 0, std::nullopt};
+        if (event.key) messages_by_key_[*event.key].push_back(event.message);
         sender_.observe(event, now_);
     }
-    void finish() {
-        const std::size_t at = pick(out_.size());
-        const Out one = out_[at];
-        out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(at));
-        Told& told = told_.at(one.message);
+    void finish_attempt() {
+        const std::size_t index = random_index(open_attempts_.size());
+        const OpenAttempt attempt = open_attempts_[index];
+        open_attempts_.erase(open_attempts_.begin() + static_cast<std::ptrdiff_t>(index));
+        MessageRecord& record = records_.at(attempt.message);
         OutcomeEvent event;
-        event.message = one.message;
-        event.endpoint = one.endpoint;
-        event.attempt = one.attempt;
-        event.outcome = chance(0.5) ? Outcome::Delivered : static_cast<Outcome>(1 + pick(6));
-        event.rtt = now_ - one.sent;
+        event.message = attempt.message;
+        event.endpoint = attempt.endpoint;
+        event.attempt = attempt.attempt;
+        event.outcome = chance(0.5) ? Outcome::Delivered : static_cast<Outcome>(1 + random_index(6));
+        event.rtt = now_ - attempt.sent;
         if (event.outcome == Outcome::Rejected && chance(0.5))
-            event.retry_after = ms(static_cast<std::int64_t>(pick(900)));
-        --told.out;
+            event.retry_after = ms(static_cast<std::int64_t>(random_index(900)));
+        --record.open_attempts;
         const bool never_ran = event.outcome == Outcome::Rejected || event.outcome == Outcome::ConnectFailed;
-        if (!never_ran) told.doubt = std::min(told.doubt.value_or(one.sent), one.sent);
-        if (event.outcome == Outcome::Delivered) told.over = true;
-        event.terminal = told.over;
+        if (!never_ran)
+            record.ambiguous_since = std::min(record.ambiguous_since.value_or(attempt.sent), attempt.sent);
+        if (event.outcome == Outcome::Delivered) record.ended = true;
+        event.terminal = record.ended;
         if (event.retry_after > Time(0))
-            waits_[route_of(one.endpoint)] =
-                std::max(waits_[route_of(one.endpoint)], now_ + event.retry_after);
-        const bool doubt = event.outcome == Outcome::TimedOut || event.outcome == Outcome::ConnectionLost ||
-                           event.outcome == Outcome::Cancelled;
-        if (told.event.key && doubt)
-            rests_[*told.event.key][one.message] = now_ + settings_.ambiguous_settle_time;
+            retry_after_until_[limit_id_of(attempt.endpoint)] =
+                std::max(retry_after_until_[limit_id_of(attempt.endpoint)], now_ + event.retry_after);
+        const bool ambiguous = event.outcome == Outcome::TimedOut ||
+                               event.outcome == Outcome::ConnectionLost ||
+                               event.outcome == Outcome::Cancelled;
+        if (record.event.key && ambiguous)
+            settled_at_[*record.event.key][attempt.message] = now_ + settings_.ambiguous_settle_time;
         sender_.observe(event, now_);
     }
 
-    void act(const Send& send) {
-        ++sends_;
-        note("send", send.message);
-        Told& told = told_.at(send.message);
-        const ClassSettings& kind = settings_.classes[told.event.message_class];
-        ASSERT_FALSE(told.over);
-        ASSERT_EQ(told.out, 0) << "two attempts at once";
-        ASSERT_EQ(destination_of(send.endpoint), told.event.destination);
-        ASSERT_EQ(conditions_.at(send.endpoint), Condition::Ready) << "drain";
-        ASSERT_LE(waits_[route_of(send.endpoint)], now_) << "wait";
-        if (told.doubt) {
-            ASSERT_NE(kind.delivery, DeliverySemantics::AtMostOnce);
-            if (kind.delivery == DeliverySemantics::Deduplicated) {
-                ASSERT_LE(now_, *told.doubt + kind.dedup_window);
+    void handle(const Send& send) {
+        ++send_count_;
+        add_to_trace("send", send.message);
+        MessageRecord& record = records_.at(send.message);
+        const ClassSettings& class_settings = settings_.classes[record.event.message_class];
+        ASSERT_FALSE(record.ended);
+        ASSERT_EQ(record.open_attempts, 0) << "two attempts at the same time";
+        ASSERT_EQ(destination_of(send.endpoint), record.event.destination);
+        ASSERT_EQ(conditions_.at(send.endpoint), Condition::Ready)
+            << "sent to an endpoint that accepts no calls";
+        ASSERT_LE(retry_after_until_[limit_id_of(send.endpoint)], now_)
+            << "sent before retry-after has passed";
+        if (record.ambiguous_since) {
+            ASSERT_NE(class_settings.delivery, DeliverySemantics::AtMostOnce);
+            if (class_settings.delivery == DeliverySemantics::Deduplicated) {
+                ASSERT_LE(now_, *record.ambiguous_since + class_settings.dedup_window);
             }
         }
-        if (told.event.key) order(send.message, *told.event.key);
-        out_.push_back({send.message, send.endpoint, told.attempts++, now_});
-        ASSERT_LE(told.attempts, settings_.max_attempts);
-        ++told.out;
+        if (record.event.key) check_order(send.message, *record.event.key);
+        open_attempts_.push_back({send.message, send.endpoint, record.attempts++, now_});
+        ASSERT_LE(record.attempts, settings_.max_attempts);
+        ++record.open_attempts;
     }
-    void order(MessageId id, std::uint64_t key) {
-        for (const MessageId earlier : lines_.at(key)) {
+    void check_order(MessageId id, std::uint64_t key) {
+        for (const MessageId earlier : messages_by_key_.at(key)) {
             if (earlier == id) break;
-            ASSERT_TRUE(told_.at(earlier).over && told_.at(earlier).out == 0) << "order";
-            ASSERT_LE(rests_[key][earlier], now_) << "rest";
+            ASSERT_TRUE(records_.at(earlier).ended && records_.at(earlier).open_attempts == 0)
+                << "sent before an earlier message of its key";
+            ASSERT_LE(settled_at_[key][earlier], now_) << "sent before ambiguous_settle_time has passed";
         }
     }
-    void act(const Refuse& refuse) {
-        const Told& told = told_.at(refuse.message);
-        const DeliverySemantics effect = settings_.classes[told.event.message_class].delivery;
-        if (effect == DeliverySemantics::AtMostOnce) {
-            ASSERT_FALSE(told.doubt || told.out > 0) << "refused in doubt";
+    void handle(const Refuse& refuse) {
+        const MessageRecord& record = records_.at(refuse.message);
+        const DeliverySemantics delivery = settings_.classes[record.event.message_class].delivery;
+        if (delivery == DeliverySemantics::AtMostOnce) {
+            ASSERT_FALSE(record.ambiguous_since || record.open_attempts > 0)
+                << "refused although an attempt may have run";
         }
-        end(refuse.message);
+        end_message(refuse.message);
+    }
+    void handle(const Fail& fail) { end_message(fail.message); }
+    void handle(const CancelAttempt& cancel) {
+        ASSERT_LT(cancel.attempt, records_.at(cancel.message).attempts);
     }
-    void act(const Fail& fail) { end(fail.message); }
-    void act(const CancelAttempt& cancel) { ASSERT_LT(cancel.attempt, told_.at(cancel.message).attempts); }
     template <class Other>
-    void act(const Other&) {}
-    void end(MessageId id) {
-        note("end", id);
-        ASSERT_FALSE(told_.at(id).over) << "two final answers";
-        told_.at(id).over = true;
+    void handle(const Other&) {}
+    void end_message(MessageId id) {
+        add_to_trace("end", id);
+        ASSERT_FALSE(records_.at(id).ended) << "two final outcomes";
+        records_.at(id).ended = true;
     }
-    void overdue() {
-        for (auto& [id, told] : told_) ASSERT_TRUE(told.over || told.deadline > now_) << "no answer in time";
+    void check_deadlines() {
+        for (auto& [id, record] : records_)
+            ASSERT_TRUE(record.ended || record.deadline > now_) << "no final outcome by its deadline";
     }
-    void note(const char* what, MessageId id) { trace_.push_back(what + std::to_string(id)); }
+    void add_to_trace(const char* what, MessageId id) { trace_.push_back(what + std::to_string(id)); }
 
     std::mt19937_64 random_;
     Settings settings_;
     Sender sender_;
     Time now_ = ms(5000);
-    MessageId last_ = 0;
-    int sends_ = 0;
-    std::map<MessageId, Told> told_;
-    std::map<std::uint64_t, std::vector<MessageId>> lines_;
-    std::map<std::uint64_t, std::map<MessageId, Time>> rests_;
-    std::map<std::int64_t, Time> waits_;
+    MessageId last_message_ = 0;
+    int send_count_ = 0;
+    std::map<MessageId, MessageRecord> records_;
+    std::map<std::uint64_t, std::vector<MessageId>> messages_by_key_;
+    std::map<std::uint64_t, std::map<MessageId, Time>> settled_at_;
+    std::map<std::int64_t, Time> retry_after_until_;
     std::map<EndpointId, Condition> conditions_;
-    std::vector<Out> out_;
+    std::vector<OpenAttempt> open_attempts_;
     std::vector<std::string> trace_;
 };
 
-TEST(Property, RulesHoldOnArbitraryEvents) {
+TEST(Property, RulesHoldForArbitraryEvents) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-        World world(seed);
-        world.run(1500);
+        RandomEventTest test(seed);
+        test.run(1500);
         if (HasFatalFailure()) FAIL() << "seed " << seed;
     }
 }
 
-TEST(Property, SameEventsSameActions) {
-    World one(7), other(8), again(7);
-    one.run(500);
+TEST(Property, SameEventsCauseTheSameActions) {
+    RandomEventTest first(7), other(8), again(7);
+    first.run(500);
     other.run(500);
     again.run(500);
-    EXPECT_EQ(one.trace(), again.trace());
-    EXPECT_NE(one.trace(), other.trace());
+    EXPECT_EQ(first.trace(), again.trace());
+    EXPECT_NE(first.trace(), other.trace());
 }
 
 }  // namespace
