--- a/include/cometspoke/sender.hpp
+++ b/include/cometspoke/sender.hpp
@@ -75,9 +75,13 @@
     double over_quota_utility = 1.0;    ///< factor on the utility of a message above the quota of its tenant
     LateDecay late_decay = LateDecay::Linear;
     Time connection_idle_limit{0};  ///< an idle connection closes after this time
+    /// The calls that an endpoint in slow start gets are counted over a window of this length.
     Time overload_window{0};
     Time warm_up_time{0};           ///< duration of the slow start of an endpoint after an outage
     Time ambiguous_settle_time{0};  ///< after an ambiguous attempt its key rests for this time
+    /// Within one overload_window an endpoint in slow start may get at most this many times the calls that
+    /// its present (cold) capacity handles in that time, from all senders together; above that it fails
+    /// again.
     double overload_multiple = 1.0;
     double cold_capacity_share = 1.0;  ///< share of its capacity that an endpoint has as slow start begins
 };
