--- a/tests/fault/rule_checker.hpp
+++ b/tests/fault/rule_checker.hpp
@@ -1,4 +1,5 @@
-/// The rules of the service, checked over what one run's clients, endpoints and platform have recorded.
+/// Checks the rules of the service against the events that the clients, endpoints and platform of one run
+/// record.
 #pragma once
 
 #include <chrono>
@@ -11,30 +12,30 @@
 
 namespace lockgw {
 
-/// One thing that happened to a message, as seen from outside the program.
+/// An event in the life of a message, as observed from outside the program.
 struct MessageEvent {
     enum class Kind {
-        HandedIn,   ///< the last byte of its request is written
+        HandedIn,   ///< the last byte of its request was written
         Accepted,   ///< +OK
-        Refused,    ///< any other answer
-        NoAnswer,   ///< its connection ended without one
-        CallBegun,  ///< an endpoint has read its call
-        CallEnded,  ///< the endpoint has answered, or the call's connection ended
-        Noticed,    ///< the platform has taken a notice of its end
+        Refused,    ///< any other reply
+        NoAnswer,   ///< its connection ended without a reply
+        CallBegun,  ///< an endpoint read the call that carries it
+        CallEnded,  ///< the endpoint responded, or the connection of the call ended
+        Noticed,    ///< the platform took a notice of how it ended
     };
     Kind kind = Kind::HandedIn;
     std::chrono::steady_clock::time_point at;
-    std::string detail;                                 ///< for the timeline
+    std::string detail;                                 ///< is shown in the timeline
     int status = 0;                                     ///< of CallEnded
-    std::chrono::milliseconds left{0};                  ///< of HandedIn: the time it may take
-    std::chrono::steady_clock::time_point connected{};  ///< of HandedIn: since when its connection was open
-    bool repeatable = true;                             ///< of HandedIn
-    std::chrono::milliseconds retry_after{0};           ///< of CallEnded with 429
-    std::string endpoint;                               ///< of calls
+    std::chrono::milliseconds left{0};                  ///< of HandedIn: the time until its deadline
+    std::chrono::steady_clock::time_point connected{};  ///< of HandedIn: when its connection was opened
+    bool repeatable = true;  ///< of HandedIn: may be sent again after an attempt that may have run
+    std::chrono::milliseconds retry_after{0};  ///< of CallEnded with 429
+    std::string endpoint;                      ///< of calls
 };
 
-/// Collects events from several threads; `breaches` names what breaks a rule, with the timeline of its
-/// message.
+/// Collects events from several threads. breaches() describes each event that breaks a rule, with the
+/// timeline of its message.
 class RuleChecker {
 public:
     using Time = std::chrono::steady_clock::time_point;
@@ -44,24 +45,26 @@
         if (event.at == Time()) event.at = std::chrono::steady_clock::now();
         messages_[id].push_back(std::move(event));
     }
-    /// The program has ended or been killed: its connections end, and so do told waits.
+    /// The program ended or was killed. Its connections end, and a retry-after from before no longer applies.
     void record_restart() {
         const std::lock_guard lock(mutex_);
         restarts_.push_back(std::chrono::steady_clock::now());
     }
-    /// SIGTERM has gone out: connections that rest are ended, and a request may cross that unread.
+    /// SIGTERM was sent. The program closes idle connections, and a request that is sent meanwhile may stay
+    /// unread.
     void record_drain() {
         const std::lock_guard lock(mutex_);
         drains_.push_back(std::chrono::steady_clock::now());
     }
-    /// Something between endpoints and the program loses answers, and with them the waits that they tell.
+    /// A fault between the endpoints and the program may lose responses together with their retry-after.
     void allow_lost_answers() { lost_answers_allowed_ = true; }
-    /// A call may be so long on its way to its endpoint, and come after the end of its message was told.
-    void allow_late_calls(std::chrono::milliseconds longest) { longest_on_the_way_ = longest; }
-    /// A client's connection was broken by the fault itself: it may end without an answer.
+    /// A call may take up to `max_transit` to reach its endpoint, and so arrive after the notice of its
+    /// message.
+    void allow_late_calls(std::chrono::milliseconds max_transit) { max_transit_ = max_transit; }
+    /// The fault itself may break the connection of a client, which then ends without a reply.
     void allow_broken_clients() { broken_clients_allowed_ = true; }
 
-    /// Whether each accepted message has its end.
+    /// Whether every accepted message has ended.
     bool all_ended() const {
         const std::lock_guard lock(mutex_);
         for (const auto& [id, events] : messages_)
@@ -75,16 +78,16 @@
         return count;
     }
 
-    /// One text for each breach; `slack`: how late an end may come on a busy machine.
+    /// Returns one text for each breach. `slack` is how late a message may end on a busy machine.
     std::vector<std::string> breaches(std::chrono::milliseconds slack) const {
         const std::lock_guard lock(mutex_);
-        std::vector<std::string> found;
+        std::vector<std::string> breaches_found;
         for (const auto& [id, events] : messages_) {
-            check_end(id, events, slack, found);
-            check_calls(id, events, found);
+            check_end(id, events, slack, breaches_found);
+            check_calls(id, events, breaches_found);
         }
-        check_waits(found);
-        return found;
+        check_retry_afters(breaches_found);
+        return breaches_found;
     }
 
 private:
@@ -97,7 +100,7 @@
         return nullptr;
     }
     static bool accepted(const Events& events) { return first(events, Kind::Accepted) != nullptr; }
-    /// The delivery or notice that came first.
+    /// The time of the first delivery or notice.
     static std::optional<Time> end_of(const Events& events) {
         std::optional<Time> end;
         for (const MessageEvent& event : events) {
@@ -109,71 +112,78 @@
     }
 
     void check_end(const std::string& id, const Events& events, std::chrono::milliseconds slack,
-        std::vector<std::string>& found) const {
+        std::vector<std::string>& breaches_found) const {
         const MessageEvent* handed_in = first(events, Kind::HandedIn);
-        if (handed_in == nullptr) return found.push_back("a call with an unknown id " + timeline(id, events));
-        const MessageEvent* unanswered = first(events, Kind::NoAnswer);
-        if (unanswered != nullptr && !may_go_unanswered(events, *handed_in, *unanswered))
-            found.push_back("lost: its connection ended with no answer " + timeline(id, events));
+        if (handed_in == nullptr)
+            return breaches_found.push_back("a call with an unknown id " + timeline(id, events));
+        const MessageEvent* without_reply = first(events, Kind::NoAnswer);
+        if (without_reply != nullptr && !may_stay_without_reply(events, *handed_in, *without_reply))
+            breaches_found.push_back("lost: its connection ended without a reply " + timeline(id, events));
         if (const MessageEvent* refused = first(events, Kind::Refused))
             for (const MessageEvent& event : events)
                 if (event.kind == Kind::CallBegun && event.at > refused->at)
-                    found.push_back("lost: called after it was refused " + timeline(id, events));
+                    breaches_found.push_back("lost: called after it was refused " + timeline(id, events));
         if (!accepted(events)) return;
         const auto end = end_of(events);
         if (!end)
-            found.push_back("lost: no final answer " + timeline(id, events));
+            breaches_found.push_back("lost: no final reply " + timeline(id, events));
         else if (*end > handed_in->at + handed_in->left + slack)
-            found.push_back("lost: a final answer after its time " + timeline(id, events));
+            breaches_found.push_back("lost: a final reply after its deadline " + timeline(id, events));
     }
 
-    /// Its process was killed meanwhile; or it is draining, and the request was not read.
-    bool may_go_unanswered(
-        const Events& events, const MessageEvent& handed_in, const MessageEvent& unanswered) const {
-        if (broken_clients_allowed_ || restarted_between(handed_in.at, unanswered.at)) return true;
+    /// Whether a request may get no reply: its process was killed meanwhile, or the process drains and did
+    /// not read the request.
+    bool may_stay_without_reply(
+        const Events& events, const MessageEvent& handed_in, const MessageEvent& without_reply) const {
+        if (broken_clients_allowed_ || restarted_between(handed_in.at, without_reply.at)) return true;
         const bool read =
             first(events, Kind::CallBegun) != nullptr || first(events, Kind::Noticed) != nullptr;
-        const bool rested = handed_in.connected != Time();
-        if (rested && !read && restarted_between(handed_in.connected, unanswered.at)) return true;
+        const bool on_open_connection = handed_in.connected != Time();
+        if (on_open_connection && !read && restarted_between(handed_in.connected, without_reply.at))
+            return true;
         for (const Time drain : drains_)
-            if (!read && drain <= unanswered.at && !restarted_between(drain, handed_in.at)) return true;
+            if (!read && drain <= without_reply.at && !restarted_between(drain, handed_in.at)) return true;
         return false;
     }
 
-    void check_calls(const std::string& id, const Events& events, std::vector<std::string>& found) const {
+    void check_calls(
+        const std::string& id, const Events& events, std::vector<std::string>& breaches_found) const {
         const MessageEvent* handed_in = first(events, Kind::HandedIn);
         const MessageEvent* noticed = first(events, Kind::Noticed);
-        bool out = false, may_have_run = false;
+        bool in_flight = false, may_have_run = false;
         for (const MessageEvent& event : events) {
             if (event.kind == Kind::CallBegun) {
-                if (out) found.push_back("duplicate: two calls side by side " + timeline(id, events));
+                if (in_flight)
+                    breaches_found.push_back("duplicate: two concurrent calls " + timeline(id, events));
                 if (may_have_run && handed_in != nullptr && !handed_in->repeatable)
-                    found.push_back(
+                    breaches_found.push_back(
                         "duplicate: called again although it may have run " + timeline(id, events));
-                if (noticed != nullptr && event.at > noticed->at + longest_on_the_way_)
-                    found.push_back("lost: called after its end was told " + timeline(id, events));
-                out = true;
+                if (noticed != nullptr && event.at > noticed->at + max_transit_)
+                    breaches_found.push_back(
+                        "lost: called after the notice of its end " + timeline(id, events));
+                in_flight = true;
             } else if (event.kind == Kind::CallEnded) {
-                out = false;
+                in_flight = false;
                 may_have_run = may_have_run || (event.status != 429 && event.status != 503);
             }
         }
     }
 
-    /// No call to an endpoint within a wait that it has told, but for the first tenth of a second.
-    void check_waits(std::vector<std::string>& found) const {
+    /// No call reaches an endpoint during its retry-after, except within the first 100 milliseconds.
+    void check_retry_afters(std::vector<std::string>& breaches_found) const {
         constexpr std::chrono::milliseconds grace{100};
         if (lost_answers_allowed_) return;
         for (const auto& [id, events] : messages_)
-            for (const MessageEvent& told : events) {
-                if (told.kind != Kind::CallEnded || told.retry_after <= grace) continue;
+            for (const MessageEvent& response : events) {
+                if (response.kind != Kind::CallEnded || response.retry_after <= grace) continue;
                 for (const auto& [other_id, other] : messages_)
                     for (const MessageEvent& call : other) {
-                        const bool inside = call.kind == Kind::CallBegun && call.endpoint == told.endpoint &&
-                                            call.at > told.at + grace && call.at < told.at + told.retry_after;
-                        if (inside && !restarted_between(told.at, call.at))
-                            found.push_back("wait: called before it was over " + timeline(id, events) +
-                                            timeline(other_id, other));
+                        const bool too_early =
+                            call.kind == Kind::CallBegun && call.endpoint == response.endpoint &&
+                            call.at > response.at + grace && call.at < response.at + response.retry_after;
+                        if (too_early && !restarted_between(response.at, call.at))
+                            breaches_found.push_back("retry-after: called before it was over " +
+                                                     timeline(id, events) + timeline(other_id, other));
                     }
             }
     }
@@ -185,7 +195,7 @@
 
     static std::string timeline(const std::string& id, const Events& events) {
         static constexpr const char* names[] = {
-            "handed in", "accepted", "refused", "no answer", "call begun", "call ended", "notice taken"};
+            "handed in", "accepted", "refused", "no reply", "call started", "call ended", "notice received"};
         std::ostringstream text;
         text << "[" << id << ":";
         for (const MessageEvent& event : events) {
@@ -203,7 +213,7 @@
     mutable std::mutex mutex_;
     std::map<std::string, Events> messages_;
     std::vector<Time> restarts_, drains_;
-    std::chrono::milliseconds longest_on_the_way_{0};
+    std::chrono::milliseconds max_transit_{0};
     bool broken_clients_allowed_ = false, lost_answers_allowed_ = false;
 };
 
