--- a/tests/fault/fault_proxy.hpp
+++ b/tests/fault/fault_proxy.hpp
@@ -1,4 +1,4 @@
-/// A TCP proxy that delays, trickles, half-closes and resets connections by chance.
+/// A TCP proxy that randomly delays data, sends it byte by byte, and half-closes or resets connections.
 #pragma once
 
 #include <array>
@@ -13,8 +13,8 @@
 
 class FaultProxy {
 public:
-    FaultProxy(const std::string& behind, std::uint64_t seed)
-        : behind_(tcp_endpoint(behind, "endpoint")),
+    FaultProxy(const std::string& upstream, std::uint64_t seed)
+        : upstream_(tcp_endpoint(upstream, "endpoint")),
           acceptor_(io_, {asio::ip::address_v4::loopback(), 0}),
           random_(seed),
           thread_([this] { run(); }) {}
@@ -22,23 +22,25 @@
         stopping_ = true;
         thread_.join();
     }
-    /// Two delays, of a connect's first bytes and the next ones, and some for a busy machine.
+    /// The maximum time in the proxy: two delays (of the first bytes of a connection and of the next ones)
+    /// and an allowance for a busy machine.
     static constexpr std::chrono::milliseconds kLongestOnTheWay{300};
 
     std::string address() const { return text_of(acceptor_.local_endpoint()); }
 
 private:
-    struct Pair {
-        explicit Pair(asio::io_context& io) : near(io), far(io) {}
-        Tcp::socket near, far;
+    /// The two connections that the proxy joins.
+    struct ConnectionPair {
+        explicit ConnectionPair(asio::io_context& io) : client_side(io), upstream_side(io) {}
+        Tcp::socket client_side, upstream_side;
     };
-    /// Bytes on their way in one direction.
+    /// The data in transit in one direction.
     struct Flow {
-        std::shared_ptr<Pair> pair;
+        std::shared_ptr<ConnectionPair> pair;
         Tcp::socket& from;
         Tcp::socket& to;
         std::array<char, 4096> bytes{};
-        std::unique_ptr<asio::steady_timer> pause;
+        std::unique_ptr<asio::steady_timer> delay_timer;
     };
 
     void run() {
@@ -46,54 +48,60 @@
         while (!stopping_) io_.run_for(20ms);
     }
     void accept() {
-        const auto pair = std::make_shared<Pair>(io_);
-        acceptor_.async_accept(pair->near, [this, pair](auto failed) {
-            if (failed) return;
+        const auto pair = std::make_shared<ConnectionPair>(io_);
+        acceptor_.async_accept(pair->client_side, [this, pair](auto error) {
+            if (error) return;
             accept();
-            pair->far.async_connect(behind_, [this, pair](auto unreachable) {
-                if (unreachable) return;
-                pass_on(std::make_shared<Flow>(Flow{pair, pair->near, pair->far, {}, nullptr}));
-                pass_on(std::make_shared<Flow>(Flow{pair, pair->far, pair->near, {}, nullptr}));
+            pair->upstream_side.async_connect(upstream_, [this, pair](auto connect_error) {
+                if (connect_error) return;
+                forward(
+                    std::make_shared<Flow>(Flow{pair, pair->client_side, pair->upstream_side, {}, nullptr}));
+                forward(
+                    std::make_shared<Flow>(Flow{pair, pair->upstream_side, pair->client_side, {}, nullptr}));
             });
         });
     }
-    bool by_chance(double share) { return std::uniform_real_distribution<double>(0, 1)(random_) < share; }
+    bool with_probability(double probability) {
+        return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
+    }
 
-    void pass_on(const std::shared_ptr<Flow>& flow) {
-        flow->from.async_read_some(asio::buffer(flow->bytes), [this, flow](auto failed, std::size_t count) {
+    void forward(const std::shared_ptr<Flow>& flow) {
+        flow->from.async_read_some(asio::buffer(flow->bytes), [this, flow](auto error, std::size_t count) {
             boost::system::error_code ignored;
-            if (failed) {
+            if (error) {
                 flow->to.shutdown(Tcp::socket::shutdown_send, ignored);
                 return;
             }
-            if (by_chance(kResets)) return reset(*flow->pair);
-            if (by_chance(kHalfCloses)) return (void)flow->to.shutdown(Tcp::socket::shutdown_send, ignored);
-            const auto delay = by_chance(kDelays) ? kDelay : 0ms;
-            flow->pause = std::make_unique<asio::steady_timer>(io_, delay);
-            flow->pause->async_wait([this, flow, count](auto) { write(flow, 0, count); });
+            if (with_probability(kResetProbability)) return reset(*flow->pair);
+            if (with_probability(kHalfCloseProbability))
+                return (void)flow->to.shutdown(Tcp::socket::shutdown_send, ignored);
+            const auto delay = with_probability(kDelayProbability) ? kDelay : 0ms;
+            flow->delay_timer = std::make_unique<asio::steady_timer>(io_, delay);
+            flow->delay_timer->async_wait([this, flow, count](auto) { write(flow, 0, count); });
         });
     }
-    /// Whole, or byte by byte.
+    /// Writes the bytes from `from` to `to`, all at once or byte by byte.
     void write(const std::shared_ptr<Flow>& flow, std::size_t from, std::size_t to) {
-        if (from == to) return pass_on(flow);
-        const std::size_t piece = by_chance(kTrickles) ? 1 : to - from;
-        asio::async_write(flow->to, asio::buffer(flow->bytes.data() + from, piece),
-            [this, flow, from, to](auto failed, std::size_t wrote) {
-                if (!failed) write(flow, from + wrote, to);
+        if (from == to) return forward(flow);
+        const std::size_t length = with_probability(kBytewiseWriteProbability) ? 1 : to - from;
+        asio::async_write(flow->to, asio::buffer(flow->bytes.data() + from, length),
+            [this, flow, from, to](auto error, std::size_t bytes_written) {
+                if (!error) write(flow, from + bytes_written, to);
             });
     }
-    static void reset(Pair& pair) {
+    static void reset(ConnectionPair& pair) {
         boost::system::error_code ignored;
-        pair.near.set_option(asio::socket_base::linger(true, 0), ignored);
-        pair.near.close(ignored);
-        pair.far.close(ignored);
+        pair.client_side.set_option(asio::socket_base::linger(true, 0), ignored);
+        pair.client_side.close(ignored);
+        pair.upstream_side.close(ignored);
     }
 
     static constexpr std::chrono::milliseconds kDelay{80};
-    static constexpr double kResets = 0.03, kHalfCloses = 0.02, kDelays = 0.1, kTrickles = 0.2;
+    static constexpr double kResetProbability = 0.03, kHalfCloseProbability = 0.02, kDelayProbability = 0.1,
+                            kBytewiseWriteProbability = 0.2;
 
     asio::io_context io_;
-    Tcp::endpoint behind_;
+    Tcp::endpoint upstream_;
     Tcp::acceptor acceptor_;
     std::mt19937_64 random_;
     std::atomic<bool> stopping_ = false;
