--- a/tests/fault/handover_fault_test.cpp
+++ b/tests/fault/handover_fault_test.cpp
@@ -1,4 +1,4 @@
-// Replacing the process while system calls fail for a moment.
+// The handover to a new process while system calls fail temporarily.
 #include "false_claim.hpp"
 #include "fault_fixture.hpp"
 
@@ -7,77 +7,80 @@
 
 class HandoverFaultTest : public FaultNodeTest {
 protected:
-    HandoverFaultTest() : before(node.other_address()), after(node.other_address()) {
+    HandoverFaultTest() : old_address(node.other_address()), new_address(node.other_address()) {
         node.hold_listener();
-        node.config()["management"] = text_of(before);
+        node.config()["management"] = text_of(old_address);
     }
 
-    static constexpr std::int64_t kAlways = 1'000'000;  // as many calls as a test may see
+    static constexpr std::int64_t kAllCalls = 1'000'000;  // at least as many calls as a test makes
 
-    static constexpr std::size_t kRoom = 3 << 20;  // bytes
+    static constexpr std::size_t kMaxJournalBytes = 3 << 20;
 
-    Tcp::endpoint before, after;
+    Tcp::endpoint old_address, new_address;
 };
 
-// Guards against a process that can never be replaced, since its local socket could not be had at its start.
-TEST_F(HandoverFaultTest, TheLocalSocketIsTriedAgain) {
-    faults.arm(0, {fault::Call::Listen, EADDRINUSE, 1});  // the first is the operators' address
+// Guards against a process that can never be replaced because it could not listen on its local socket at its
+// start.
+TEST_F(HandoverFaultTest, ListeningOnTheLocalSocketIsRetried) {
+    faults.arm(0, {fault::Call::Listen, EADDRINUSE, 1});  // the first call listens on the operators' address
     node.start_ready();
     ASSERT_EQ(faults.hits(0), 1);
-    node.start_beside(after);
-    EXPECT_TRUE(says_yes(after)) << node.log();
+    node.start_beside(new_address);
+    EXPECT_TRUE(says_yes(new_address)) << node.log();
 }
 
-// Guards against a new process that exits, or begins with nothing, where the journal cannot be opened just
-// then.
-TEST_F(HandoverFaultTest, TheJournalIsTriedAgainAfterTheOtherLetGo) {
+// Guards against a new process that exits, or starts without messages, if the journal cannot be opened
+// temporarily.
+TEST_F(HandoverFaultTest, OpeningTheJournalIsRetriedAfterTheOldProcessReleasedIt) {
     node.config()["settings"]["family_info"]["slots"] = 1;
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     const Exchange call = target.next();
-    constexpr int opens_of_a_start = 4;  // configuration, folder, lock, boot id aside
-    faults.arm(0, {fault::Call::Open, ENFILE, opens_of_a_start - 1, 30});
-    node.start_beside(after);
-    EXPECT_TRUE(says_yes(after)) << node.log();
+    constexpr int opens_of_one_start = 4;  // configuration, folder, lock; the boot id is not counted
+    faults.arm(0, {fault::Call::Open, ENFILE, opens_of_one_start - 1, 30});
+    node.start_beside(new_address);
+    EXPECT_TRUE(says_yes(new_address)) << node.log();
     EXPECT_GT(faults.hits(0), 0);
     call.answer(200);
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-// Guards against an end that is never told: its record could not be kept, and then another process claimed
-// the folder and went silent.
-TEST_F(HandoverFaultTest, AnEndThatWasNotKeptIsToldAfterAnOfferIsTakenBack) {
+// Guards against a notice that is never sent: the end of the message could not be recorded, and then another
+// process claimed the folder and sent nothing more.
+TEST_F(HandoverFaultTest, AnUnrecordedEndIsNotifiedAfterAnOfferIsWithdrawn) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
     const Exchange call = target.next();
-    faults.arm(0, {fault::Call::Write, ENOSPC, 0, kAlways});
-    call.answer(500);  // it may have run: it ends at once
+    faults.arm(0, {fault::Call::Write, ENOSPC, 0, kAllCalls});
+    call.answer(500);  // the message may have run, so it ends at once
     ASSERT_TRUE(node.logs("cannot be written"));
-    FalseClaim silent(node.state());
-    silent.send({{"step", "claim"}});
-    ASSERT_EQ(silent.hear()["step"], "offer");
+    FalseClaim claimant(node.state());
+    claimant.send({{"step", "claim"}});
+    ASSERT_EQ(claimant.hear()["step"], "offer");
     faults.arm(0, {});
-    EXPECT_EQ(first_notice(), (Json{{"ref", id}, {"result", "dead"}}));  // it is taken back by itself
+    // the offer is withdrawn without a further step
+    EXPECT_EQ(first_notice(), (Json{{"ref", id}, {"result", "dead"}}));
 }
 
-// Guards against a new process that calls with what the one before it has delivered and could not record.
-TEST_F(HandoverFaultTest, ADeliveryThatWasNotKeptIsOnRecordBeforeTheOtherGoesOn) {
+// Guards against a new process that sends a message again that the old process delivered but could not
+// record.
+TEST_F(HandoverFaultTest, AnUnrecordedDeliveryIsRecordedBeforeTheNewProcessTakesOver) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     const Exchange call = target.next();
-    faults.arm(0, {fault::Call::Write, ENOSPC, 0, kAlways});
+    faults.arm(0, {fault::Call::Write, ENOSPC, 0, kAllCalls});
     call.answer(200);
     ASSERT_TRUE(node.logs("cannot be written"));
-    FalseClaim other(node.state());
-    other.send({{"step", "claim"}});
-    ASSERT_EQ(other.hear()["step"], "offer");
+    FalseClaim claimant(node.state());
+    claimant.send({{"step", "claim"}});
+    ASSERT_EQ(claimant.hear()["step"], "offer");
     faults.arm(0, {});
-    other.send({{"step", "ready"}});
-    ASSERT_EQ(other.hear()["step"], "go");
-    EXPECT_TRUE(Journal(node.state(), kRoom).entries().empty());
+    claimant.send({{"step", "ready"}});
+    ASSERT_EQ(claimant.hear()["step"], "go");
+    EXPECT_TRUE(Journal(node.state(), kMaxJournalBytes).entries().empty());
 }
 
 }  // namespace
--- a/tests/fault/incident_test.cpp
+++ b/tests/fault/incident_test.cpp
@@ -1,4 +1,5 @@
-// The incident of 2026-12-03 (docs/incidents): messages held for delivered that the platform had given up.
+// The incident of 2026-12-03 (docs/incidents): the forwarder considered messages delivered that the platform
+// had given up.
 #include "fault_fixture.hpp"
 
 namespace lockgw {
@@ -6,10 +7,10 @@
 
 using IncidentTest = FaultNodeTest;
 
-// Guards against a message without any end: its request was read late, so that the answer to its call came
-// before its time was up by the forwarder's clock and after that by the platform's.
-TEST_F(IncidentTest, AnAnswerJustBeforeTheDeadlineIsFollowedByANotice) {
-    constexpr int left_ms = 300;  // less than a request may have waited before it was read
+// Guards against a message that never ends: its request was read late, so the response to its call came
+// before the deadline by the forwarder's clock and after the deadline by the platform's clock.
+TEST_F(IncidentTest, AResponseJustBeforeTheDeadlineIsFollowedByANotice) {
+    constexpr int left_ms = 300;  // less than the time that a request may wait before it is read
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe", left_ms), "+OK");
@@ -17,10 +18,10 @@
     EXPECT_EQ(first_notice(), (Json{{"ref", id}, {"result", "dead"}}));
 }
 
-// The same where the request was read late since accept failed for a moment.
-TEST_F(IncidentTest, AFailedAcceptMovesNoDeadline) {
+// The same, with a request that is read late because accept fails temporarily.
+TEST_F(IncidentTest, AFailedAcceptDoesNotExtendTheDeadline) {
     constexpr int left_ms = 350;
-    constexpr int failures = 5;  // each delays the request by the pause after a failed accept
+    constexpr int failures = 5;  // each delays the request by the pause that follows a failed accept
     node.start_ready();
     faults.arm(0, {fault::Call::Accept, ENFILE, 0, failures});
     Client client = node.client();
@@ -30,8 +31,8 @@
     EXPECT_EQ(first_notice(), (Json{{"ref", id}, {"result", "dead"}}));
 }
 
-// Guards against clients that wait in the listener's queue behind a connection that was aborted there.
-TEST_F(IncidentTest, AnAbortedConnectionKeepsNoOtherWaiting) {
+// Guards against clients that stay in the listen queue behind a connection that was aborted there.
+TEST_F(IncidentTest, AnAbortedConnectionDoesNotDelayOtherClients) {
     node.start_ready();
     faults.arm(0, {fault::Call::Accept, ECONNABORTED});
     Client client = node.client();
--- a/tests/fault/journal_fault_test.cpp
+++ b/tests/fault/journal_fault_test.cpp
@@ -1,4 +1,4 @@
-// What is owed, and what is over, while the disk fails for a moment.
+// The records of accepted and of ended messages while disk operations fail temporarily.
 #include "fault_fixture.hpp"
 
 namespace lockgw {
@@ -6,12 +6,13 @@
 
 class JournalFaultTest : public FaultNodeTest {
 protected:
-    static constexpr std::int64_t kAlways = 1'000'000;  // as many calls as a test may see
+    static constexpr std::int64_t kAllCalls = 1'000'000;  // at least as many calls as a test makes
 };
 
-// Guards against a message that is sent on after it was delivered: its record met a full disk, nothing else
-// happened before the process was killed, and the disk had long had room again.
-TEST_F(JournalFaultTest, ADeliveryIsOnRecordSoonAfterTheDiskHasRoomAgain) {
+// Guards against a message that is sent again after its delivery: the delivery could not be recorded because
+// the disk was full, and it was still not recorded when the process was killed, long after the disk had space
+// again, because nothing else had happened meanwhile.
+TEST_F(JournalFaultTest, ADeliveryIsRecordedSoonAfterTheDiskHasSpaceAgain) {
     constexpr std::int64_t failures = 6;
     node.start_ready();
     Client client = node.client();
@@ -19,17 +20,17 @@
     const Exchange call = target.next();
     faults.arm(0, {fault::Call::Write, ENOSPC, 0, failures});
     call.answer(200);
-    const auto kept = [&] { return faults->rules[0].seen > failures; };
-    EXPECT_TRUE(FaultNodeTest::wait_until(kept)) << "no further write";
+    const auto recorded = [&] { return faults->rules[0].seen > failures; };
+    EXPECT_TRUE(FaultNodeTest::wait_until(recorded)) << "no further write";
     node.kill();
     node.wait();
     node.start_ready();
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-// The same where the process ends in order.
-TEST_F(JournalFaultTest, AnEndInOrderWaitsForTheRecordOfADelivery) {
-    constexpr std::int64_t failures = 40;  // some hundred milliseconds
+// The same, with a process that ends after SIGTERM.
+TEST_F(JournalFaultTest, TerminationWaitsForTheRecordOfADelivery) {
+    constexpr std::int64_t failures = 40;  // the retries take some hundred milliseconds
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
@@ -43,23 +44,23 @@
     EXPECT_TRUE(target.none_within(300ms));
 }
 
-// Guards against a journal that is kept aside although it can be read: the folder could not be written for
-// long, and only then the journal could not be read for a moment.
-TEST_F(JournalFaultTest, AFolderThatCannotBeWrittenDoesNotCountAsAJournalThatCannotBeRead) {
-    constexpr auto longer_than_it_is_tried = 5200ms;
-    constexpr std::int64_t more_than_one_start_reads = 25;
+// Guards against a journal that is set aside although it is readable: the folder could not be written for a
+// long time, and only then the journal could not be read temporarily.
+TEST_F(JournalFaultTest, AnUnwritableFolderDoesNotCountAsAnUnreadableJournal) {
+    constexpr auto longer_than_the_retries = 5200ms;
+    constexpr std::int64_t more_opens_than_one_start = 25;
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     target.next();
     node.kill();
     node.wait();
-    faults.arm(0, {fault::Call::Rename, EIO, 0, kAlways});
-    faults.arm(1, {fault::Call::Truncate, EIO, 0, kAlways});
-    const auto until = Clock::now() + longer_than_it_is_tried;
+    faults.arm(0, {fault::Call::Rename, EIO, 0, kAllCalls});
+    faults.arm(1, {fault::Call::Truncate, EIO, 0, kAllCalls});
+    const auto retries_over_at = Clock::now() + longer_than_the_retries;
     node.start();
-    ASSERT_TRUE(wait_until([&] { return Clock::now() > until; }));
-    faults.arm(2, {fault::Call::Open, EIO, 0, more_than_one_start_reads});
+    ASSERT_TRUE(wait_until([&] { return Clock::now() > retries_over_at; }));
+    faults.arm(2, {fault::Call::Open, EIO, 0, more_opens_than_one_start});
     ASSERT_TRUE(wait_until([&] { return faults.hits(2) > 0; }));
     faults.arm(0, {});
     faults.arm(1, {});
