--- a/bench/workload.cpp
+++ b/bench/workload.cpp
@@ -5,7 +5,8 @@
 namespace cometspoke::bench {
 namespace {
 
-constexpr std::size_t kMostEndpoints = 2;  // of a destination; endpoint ids are its id times this, and on
+// A destination's endpoint ids start at its id times this.
+constexpr std::size_t kMaxEndpointsPerDestination = 2;
 
 std::size_t endpoint_count(EndpointsEach each, std::size_t destination) {
     switch (each) {
@@ -24,7 +25,7 @@
 Settings make_settings(const WorkloadOptions& options) {
     ClassSettings retryable;
     retryable.target_latency = Time(2'000'000);
-    retryable.deadline = kUsualDeadline;
+    retryable.deadline = kDefaultDeadline;
     Settings settings;
     settings.classes = {retryable};
     settings.kinds.resize(1);
@@ -46,7 +47,7 @@
 std::vector<EndpointId> endpoints_of(const WorkloadOptions& options, std::size_t destination) {
     std::vector<EndpointId> endpoints;
     for (std::size_t i = 0; i < endpoint_count(options.endpoints_each, destination); ++i)
-        endpoints.push_back(static_cast<EndpointId>(destination * kMostEndpoints + i));
+        endpoints.push_back(static_cast<EndpointId>(destination * kMaxEndpointsPerDestination + i));
     return endpoints;
 }
 
@@ -57,23 +58,23 @@
             ListEntry entry;
             entry.endpoint = endpoint;
             entry.destination = static_cast<DestinationId>(destination);
-            entry.agreed_rate_per_s = options.listed_rates ? kListedRate : 0.0;
+            entry.agreed_rate_per_s = options.listed_rates ? kListedCallsPerSecond : 0.0;
             list.entries.push_back(entry);
         }
     return list;
 }
 
 std::vector<EndpointModel> make_endpoints(const WorkloadOptions& options) {
-    EndpointModel usual;
-    usual.limit_per_s = options.listed_rates ? kListedRate : 0.0;
-    std::vector<EndpointModel> models(options.destinations * kMostEndpoints, usual);
+    EndpointModel default_model;
+    default_model.limit_per_s = options.listed_rates ? kListedCallsPerSecond : 0.0;
+    std::vector<EndpointModel> models(options.destinations * kMaxEndpointsPerDestination, default_model);
     bool silent = false;
     for (const DestinationId destination : down_destinations(options.destinations, options.down_share)) {
         for (const EndpointId endpoint : endpoints_of(options, static_cast<std::size_t>(destination))) {
             EndpointModel& model = models[endpoint];
             model.down_from = options.down_from;
             model.down_until = options.down_until;
-            model.down_mode = silent ? DownMode::Silent : DownMode::RefusesConnection;
+            model.down_mode = silent ? DownMode::NoResponse : DownMode::RefuseConnection;
         }
         silent = !silent;
     }
@@ -90,11 +91,11 @@
     return down;
 }
 
-MessageEvent make_message(MessageId message, DestinationId destination, Time left) {
+MessageEvent make_message(MessageId message, DestinationId destination, Time time_left) {
     MessageEvent event;
     event.message = message;
     event.destination = destination;
-    event.time_left = left;
+    event.time_left = time_left;
     return event;
 }
 
--- a/bench/workload.hpp
+++ b/bench/workload.hpp
@@ -1,4 +1,4 @@
-/// The operators' sizes as Settings, lists, endpoint models and messages.
+/// Settings, lists, endpoint models and messages at the sizes that operators run.
 #pragma once
 
 #include <cstddef>
@@ -12,41 +12,42 @@
 
 constexpr std::size_t kForwarders = 730;
 constexpr std::size_t kDestinations = 310'000;
-constexpr double kMessagesPerSecond = 104.0;  // of one forwarder: 76,000 a second over kForwarders
-constexpr double kDownShare = 0.043;          // of the destinations, at any time
-constexpr double kListedRate = 5.0;           // calls a second, where rates are listed
-constexpr Time kUsualDeadline{20'000'000};
+constexpr double kMessagesPerSecond = 104.0;   // per forwarder: 76,000 per second over kForwarders
+constexpr double kDownShare = 0.043;           // share of the destinations that is down at any time
+constexpr double kListedCallsPerSecond = 5.0;  // rate limit per destination, if rates are listed
+constexpr Time kDefaultDeadline{20'000'000};
 
 enum class EndpointsEach { One, Two, OneOrTwo };
 
 struct WorkloadOptions {
     std::size_t destinations = 1000;
     EndpointsEach endpoints_each = EndpointsEach::OneOrTwo;
-    std::size_t forwarders = kForwarders;  ///< as the Sender is told
+    std::size_t forwarders = kForwarders;  ///< fleet size in the Settings of the Sender
     std::size_t most_held = 1'000'000;
-    bool listed_rates = false;  ///< each destination lists kListedRate, and each endpoint holds to it
+    /// Each destination lists kListedCallsPerSecond, and each endpoint enforces it.
+    bool listed_rates = false;
     double down_share = 0.0;
     Time down_from{0};
     Time down_until = kNever;
 };
 
-/// Settings as an operator would choose them: 64 slots, one retryable class.
+/// Settings as an operator would choose them: 64 slots and one retryable class.
 Settings make_settings(const WorkloadOptions& options);
 
-/// The endpoints of a destination.
+/// The endpoint ids of a destination.
 std::vector<EndpointId> endpoints_of(const WorkloadOptions& options, std::size_t destination);
 
-/// The whole list.
+/// The full list of all endpoints.
 ListEvent make_list(const WorkloadOptions& options);
 
-/// The models by endpoint id. Down destinations refuse connections or are silent, by turns.
+/// The models, indexed by endpoint id. Down destinations alternately refuse connections and do not respond.
 std::vector<EndpointModel> make_endpoints(const WorkloadOptions& options);
 
-/// The destinations that are down for a time: `share` of them, spread evenly over the ids. Where the share is
-/// under a half the last destination is not among them.
+/// The destinations that have an outage: `share` of them, spread evenly over the ids. If the share is below a
+/// half, the last destination is not among them.
 std::vector<DestinationId> down_destinations(std::size_t destinations, double share);
 
-/// A message of the one class, to be given up after `left`.
-MessageEvent make_message(MessageId message, DestinationId destination, Time left = kUsualDeadline);
+/// A message of the only class, whose deadline is `time_left` from now.
+MessageEvent make_message(MessageId message, DestinationId destination, Time time_left = kDefaultDeadline);
 
 }  // namespace cometspoke::bench
--- a/tests/bench_model_test.cpp
+++ b/tests/bench_model_test.cpp
@@ -1,4 +1,5 @@
-/// The models of the scale bench: endpoints, forwarders, fleets and the slopes of its table.
+/// Tests of the models of the scale bench: endpoints, workload, forwarders, fleets, and the growth rates of
+/// its table.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -6,7 +7,7 @@
 
 #include "endpoint_model.hpp"
 #include "fleet_model.hpp"
-#include "hollow_forwarder.hpp"
+#include "model_forwarder.hpp"
 #include "scale_series.hpp"
 #include "workload.hpp"
 
@@ -15,46 +16,46 @@
 
 constexpr Time kSecond{1'000'000};
 
-TEST(EndpointFarm, TurnsAwayAboveItsLimitInEachSecond) {
+TEST(ModelEndpoints, RejectsCallsAboveItsLimitInEachSecond) {
     EndpointModel model;
     model.limit_per_s = 2.0;
-    EndpointFarm farm({model});
-    EXPECT_EQ(farm.call(0, Time(0), kSecond).outcome, Outcome::Delivered);
-    EXPECT_EQ(farm.call(0, Time(1), kSecond).outcome, Outcome::Delivered);
-    const Reply above = farm.call(0, Time(2), kSecond);
-    EXPECT_EQ(above.outcome, Outcome::Rejected);
-    ASSERT_TRUE(above.report);
-    EXPECT_EQ(above.report->remaining_share, 0.0);
-    EXPECT_EQ(above.report->limit_per_s, 2.0);
-    EXPECT_EQ(farm.call(0, kSecond, kSecond).outcome, Outcome::Delivered);
-    ASSERT_EQ(farm.seconds().size(), 2u);
-    EXPECT_EQ(farm.seconds()[0].calls, 3u);
-    EXPECT_EQ(farm.seconds()[0].turned_away, 1u);
-    EXPECT_EQ(farm.seconds()[0].most_at_one, 3u);
+    ModelEndpoints endpoints({model});
+    EXPECT_EQ(endpoints.call(0, Time(0), kSecond).outcome, Outcome::Delivered);
+    EXPECT_EQ(endpoints.call(0, Time(1), kSecond).outcome, Outcome::Delivered);
+    const CallResult rejected = endpoints.call(0, Time(2), kSecond);
+    EXPECT_EQ(rejected.outcome, Outcome::Rejected);
+    ASSERT_TRUE(rejected.report);
+    EXPECT_EQ(rejected.report->remaining_share, 0.0);
+    EXPECT_EQ(rejected.report->limit_per_s, 2.0);
+    EXPECT_EQ(endpoints.call(0, kSecond, kSecond).outcome, Outcome::Delivered);
+    ASSERT_EQ(endpoints.seconds().size(), 2u);
+    EXPECT_EQ(endpoints.seconds()[0].calls, 3u);
+    EXPECT_EQ(endpoints.seconds()[0].turned_away, 1u);
+    EXPECT_EQ(endpoints.seconds()[0].most_at_one, 3u);
 }
 
-TEST(EndpointFarm, IsDownForATimeAndBack) {
+TEST(ModelEndpoints, IsDownForAPeriodThenRecovers) {
     EndpointModel model;
     model.down_from = kSecond;
     model.down_until = 2 * kSecond;
-    EndpointFarm farm({model});
-    EXPECT_EQ(farm.call(0, Time(0), kSecond).outcome, Outcome::Delivered);
-    EXPECT_EQ(farm.call(0, kSecond, kSecond).outcome, Outcome::ConnectFailed);
-    EXPECT_EQ(farm.call(0, 2 * kSecond, kSecond).outcome, Outcome::Delivered);
-    EXPECT_EQ(farm.seconds()[1].to_down, 1u);
+    ModelEndpoints endpoints({model});
+    EXPECT_EQ(endpoints.call(0, Time(0), kSecond).outcome, Outcome::Delivered);
+    EXPECT_EQ(endpoints.call(0, kSecond, kSecond).outcome, Outcome::ConnectFailed);
+    EXPECT_EQ(endpoints.call(0, 2 * kSecond, kSecond).outcome, Outcome::Delivered);
+    EXPECT_EQ(endpoints.seconds()[1].to_down, 1u);
 }
 
-TEST(EndpointFarm, IsSilentUntilTheTimeOut) {
+TEST(ModelEndpoints, UnresponsiveEndpointEndsCallAtTimeout) {
     EndpointModel model;
     model.down_from = Time(0);
-    model.down_mode = DownMode::Silent;
-    EndpointFarm farm({model});
-    const Reply reply = farm.call(0, Time(0), kSecond);
-    EXPECT_EQ(reply.outcome, Outcome::TimedOut);
-    EXPECT_EQ(reply.after, kSecond);
+    model.down_mode = DownMode::NoResponse;
+    ModelEndpoints endpoints({model});
+    const CallResult result = endpoints.call(0, Time(0), kSecond);
+    EXPECT_EQ(result.outcome, Outcome::TimedOut);
+    EXPECT_EQ(result.duration, kSecond);
 }
 
-TEST(Workload, DownDestinationsAreTheShareAndSpareTheLast) {
+TEST(Workload, DownDestinationsMatchTheShareAndExcludeTheLast) {
     for (const std::size_t destinations : {100, 1'000, 10'000, 310'000}) {
         const auto down = down_destinations(destinations, kDownShare);
         EXPECT_NEAR(static_cast<double>(down.size()), kDownShare * static_cast<double>(destinations), 1.0);
@@ -63,26 +64,26 @@
     EXPECT_EQ(down_destinations(100, 1.0).size(), 100u);
 }
 
-TEST(HollowForwarder, ServesAMessageAndKeepsCount) {
+TEST(ModelForwarder, DeliversAMessageAndCountsIt) {
     WorkloadOptions options;
     options.destinations = 1;
-    EndpointFarm farm(make_endpoints(options));
-    HollowForwarder forwarder(make_settings(options), 1, farm);
+    ModelEndpoints endpoints(make_endpoints(options));
+    ModelForwarder forwarder(make_settings(options), 1, endpoints);
     forwarder.add(make_list(options));
     forwarder.add(make_message(1, 0));
-    forwarder.turn(Time(0));
+    forwarder.run_iteration(Time(0));
     EXPECT_EQ(forwarder.counts().sent, 1u);
     EXPECT_EQ(forwarder.held(), 1u);
     EXPECT_TRUE(forwarder.adds_up());
     for (Time now(0); forwarder.held() > 0 && now < kSecond;) {
         now = forwarder.next_due();
-        forwarder.turn(now);
+        forwarder.run_iteration(now);
     }
     EXPECT_EQ(forwarder.counts().served, 1u);
     EXPECT_TRUE(forwarder.adds_up());
 }
 
-TEST(FleetModel, AddsUpWithEndpointsDownAndBack) {
+TEST(FleetModel, CountsAddUpAcrossAnOutage) {
     FleetOptions options;
     options.forwarders = options.workload.forwarders = 5;
     options.workload.destinations = 50;
@@ -99,14 +100,14 @@
     EXPECT_EQ(report.seconds[3].to_down, 0u);
 }
 
-TEST(FleetModel, RefusesToGrowBeyondItsHeap) {
+TEST(FleetModel, ThrowsAboveTheHeapLimit) {
     FleetOptions options;
     options.forwarders = 100;
-    options.most_heap_bytes = 1'000;
+    options.max_heap_bytes = 1'000;
     EXPECT_THROW(run_fleet(options), FleetTooLarge);
 }
 
-TEST(Growth, IsTakenOverTheLastDecade) {
+TEST(Growth, IsMeasuredOverTheLastDecade) {
     const auto linear = growth_of({{1, 900}, {100, 200}, {1000, 2000}});
     ASSERT_TRUE(linear);
     EXPECT_NEAR(linear->per_unit, 2.0, 1e-9);
