--- a/bench/list_bench.cpp
+++ b/bench/list_bench.cpp
@@ -1,5 +1,5 @@
-/// What a list of targets costs: its bytes, its reading, its place in memory, and the longest turn of the
-/// event loop of a whole forwarder that is told it.
+/// Measures the cost of an endpoint list: its size in bytes, the time to parse it, its memory, and the
+/// longest event-loop iteration of a whole forwarder that receives it from discovery.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 #include <time.h>
@@ -26,23 +26,23 @@
 using Clock = std::chrono::steady_clock;
 using namespace std::chrono_literals;
 
-constexpr auto kBound = 60s;         // of one case in the event loop
-constexpr int kRefusals = 2;         // after so many lists that were not taken a case ends
-constexpr std::size_t kPerCell = 1;  // targets of a destination
+constexpr auto kMaxEventLoopTime = 60s;  // of one case of event_loop()
+constexpr int kMaxRejectedLists = 2;  // a case ends once more lists than this were sent and none was applied
+constexpr std::size_t kEndpointsPerDestination = 1;
 
-std::string member_text(std::size_t number) {
+std::string member_json(std::size_t number) {
     char text[256];
     const int length = std::snprintf(text, sizeof text,
         R"({"id":"s-%08zx","host_port":"10.%zu.%zu.%zu:6379","locality":"a","flavor":"shop","cell":%zu,)"
         R"("phase":"in_service","size":1.0,"up_since_ms":0})",
-        number, number >> 16 & 255, number >> 8 & 255, number & 255, number / kPerCell);
+        number, number >> 16 & 255, number >> 8 & 255, number & 255, number / kEndpointsPerDestination);
     return {text, static_cast<std::size_t>(length)};
 }
-std::string list_text(std::size_t targets, int revision, bool complete) {
+std::string list_json(std::size_t endpoint_count, int revision, bool complete) {
     std::string text = "{\"revision\":" + std::to_string(revision) +
                        ",\"complete\":" + (complete ? "true" : "false") + ",\"members\":[";
-    for (std::size_t number = 0; number < targets; ++number)
-        text.append(number > 0 ? "," : "").append(member_text(number));
+    for (std::size_t number = 0; number < endpoint_count; ++number)
+        text.append(number > 0 ? "," : "").append(member_json(number));
     return text + "]}";
 }
 
@@ -50,129 +50,132 @@
     const auto info = mallinfo2();
     return info.uordblks + info.hblkhd;
 }
-double seconds_since(Clock::time_point begun) {
-    return std::chrono::duration<double>(Clock::now() - begun).count();
+double seconds_since(Clock::time_point started) {
+    return std::chrono::duration<double>(Clock::now() - started).count();
 }
 
-/// The body of a whole list as one JSON value and as entries, in one call.
+/// Parses the body of a complete list into a JSON value and then into entries, both in one measured call.
 void parse(benchmark::State& state) {
-    const auto targets = static_cast<std::size_t>(state.range(0));
-    const std::string text = list_text(targets, 1, true);
+    const auto endpoint_count = static_cast<std::size_t>(state.range(0));
+    const std::string text = list_json(endpoint_count, 1, true);
     for (auto _ : state) {
         malloc_trim(0);
         const std::size_t heap_before = heap_bytes();
-        const auto begun = Clock::now();
+        const auto started = Clock::now();
         Json body = Json::parse(text);
-        const double parsed = seconds_since(begun);
+        const double parse_s = seconds_since(started);
         state.counters["json_heap_bytes_an_entry"] =
-            static_cast<double>(heap_bytes() - heap_before) / static_cast<double>(targets);
+            static_cast<double>(heap_bytes() - heap_before) / static_cast<double>(endpoint_count);
         try {
-            const EndpointList list = parse_endpoint_list(body, targets);
+            const EndpointList list = parse_endpoint_list(body, endpoint_count);
             state.counters["entries"] = static_cast<double>(list.endpoints.size());
-        } catch (const std::exception& refused) {
-            state.SetLabel(refused.what());
+        } catch (const std::exception& error) {
+            state.SetLabel(error.what());
         }
-        const double all = seconds_since(begun);
-        state.SetIterationTime(all);
-        state.counters["parsed_ms"] = parsed * 1e3;
-        state.counters["us_an_entry"] = all * 1e6 / static_cast<double>(targets);
+        const double total_s = seconds_since(started);
+        state.SetIterationTime(total_s);
+        state.counters["parsed_ms"] = parse_s * 1e3;
+        state.counters["us_an_entry"] = total_s * 1e6 / static_cast<double>(endpoint_count);
         state.counters["bytes"] = static_cast<double>(text.size());
-        state.counters["bytes_of_one_change"] = static_cast<double>(list_text(1, 1, false).size());
+        state.counters["bytes_of_one_change"] = static_cast<double>(list_json(1, 1, false).size());
     }
 }
 
-/// A whole list told to the directory for the first time, and once more.
+/// Applies a complete list to the directory for the first time and then a second time.
 void directory(benchmark::State& state) {
-    const auto targets = static_cast<std::size_t>(state.range(0));
+    const auto endpoint_count = static_cast<std::size_t>(state.range(0));
     EndpointList list;
     list.complete = true;
-    for (std::size_t number = 0; number < targets; ++number) {
-        EndpointRecord& target = list.endpoints.emplace_back();
+    for (std::size_t number = 0; number < endpoint_count; ++number) {
+        EndpointRecord& endpoint = list.endpoints.emplace_back();
         char name[24];
         std::snprintf(name, sizeof name, "s-%08zx", number);
-        target.id = name;
-        target.destination = static_cast<std::int64_t>(number / kPerCell);
-        target.condition = cometspoke::Condition::Ready;
+        endpoint.id = name;
+        endpoint.destination = static_cast<std::int64_t>(number / kEndpointsPerDestination);
+        endpoint.condition = cometspoke::Condition::Ready;
     }
     for (auto _ : state) {
         malloc_trim(0);
         const std::size_t heap_before = heap_bytes();
         EndpointDirectory directory;
-        const auto begun = Clock::now();
+        const auto started = Clock::now();
         try {
-            directory.apply(list, begun);
-            const double first = seconds_since(begun);
+            directory.apply(list, started);
+            const double first_apply_s = seconds_since(started);
             state.counters["heap_bytes_an_entry"] =
-                static_cast<double>(heap_bytes() - heap_before) / static_cast<double>(targets);
-            const auto again = Clock::now();
-            directory.apply(list, again);
-            state.counters["first_ms"] = first * 1e3;
-            state.counters["repeated_ms"] = seconds_since(again) * 1e3;
-        } catch (const std::exception& refused) {
-            state.SetLabel(refused.what());
+                static_cast<double>(heap_bytes() - heap_before) / static_cast<double>(endpoint_count);
+            const auto repeat_started = Clock::now();
+            directory.apply(list, repeat_started);
+            state.counters["first_ms"] = first_apply_s * 1e3;
+            state.counters["repeated_ms"] = seconds_since(repeat_started) * 1e3;
+        } catch (const std::exception& error) {
+            state.SetLabel(error.what());
         }
-        state.SetIterationTime(seconds_since(begun));
+        state.SetIterationTime(seconds_since(started));
     }
 }
 
-/// Answers each call for the list at once with the whole list, until a call says that it has been taken.
-class Agent {
+/// A discovery server that replies to each request at once with the complete list, until a request shows for
+/// the second time that the forwarder has applied it.
+class DiscoveryServer {
 public:
-    explicit Agent(std::size_t targets)
-        : whole_(answer_of(list_text(targets, kRevision, true))),
+    explicit DiscoveryServer(std::size_t endpoint_count)
+        : response_(http_response(list_json(endpoint_count, kRevision, true))),
           acceptor_(io_, {asio::ip::address_v4::loopback(), 0}),
           thread_([this] { serve(); }) {}
-    ~Agent() {
+    ~DiscoveryServer() {
         stopping_ = true;
         boost::system::error_code ignored;
-        Tcp::socket last(io_);
-        last.connect(acceptor_.local_endpoint(), ignored);  // wakes the accept
+        Tcp::socket waker(io_);
+        waker.connect(acceptor_.local_endpoint(), ignored);  // unblocks accept()
         thread_.join();
     }
     std::string address() const { return text_of(acceptor_.local_endpoint()); }
-    /// How often the list that it last told has been taken: another answer to that call is the same list.
-    int taken() const { return taken_; }
-    int told() const { return told_; }
+    /// Number of requests that name the list's revision, which shows that the forwarder has applied the list.
+    /// The reply to the first of them is the same list again.
+    int applied_count() const { return applied_count_; }
+    int sent_count() const { return sent_count_; }
 
 private:
     static constexpr int kRevision = 5;
 
-    static std::string answer_of(const std::string& body) {
+    static std::string http_response(const std::string& body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
     void serve() {
         while (!stopping_) {
-            boost::system::error_code failed;
+            boost::system::error_code error;
             Tcp::socket socket(io_);
-            acceptor_.accept(socket, failed);
-            while (!failed && !stopping_) answer_next(socket, failed);
+            acceptor_.accept(socket, error);
+            while (!error && !stopping_) serve_request(socket, error);
         }
     }
-    void answer_next(Tcp::socket& socket, boost::system::error_code& failed) {
+    void serve_request(Tcp::socket& socket, boost::system::error_code& error) {
         std::string request;
-        asio::read_until(socket, asio::dynamic_buffer(request), "\r\n\r\n", failed);
-        if (failed) return;
+        asio::read_until(socket, asio::dynamic_buffer(request), "\r\n\r\n", error);
+        if (error) return;
         if (request.find("from=" + std::to_string(kRevision)) != std::string::npos) {
-            if (++taken_ == 2) return;  // the second time it stands for a repeated list
+            if (++applied_count_ == 2) return;  // the repeated list was applied
         }
-        ++told_;
-        asio::write(socket, asio::buffer(whole_), failed);
+        ++sent_count_;
+        asio::write(socket, asio::buffer(response_), error);
     }
 
     asio::io_context io_;
-    std::string whole_;
+    std::string response_;
     Tcp::acceptor acceptor_;
     std::atomic<bool> stopping_ = false;
-    std::atomic<int> taken_ = 0, told_ = 0;
+    std::atomic<int> applied_count_ = 0, sent_count_ = 0;
     std::thread thread_;
 };
 
-Json make_config(const std::string& agent) {
-    Json kind{{"name", "safe"}, {"effect", "retryable"}, {"aim_ms", 4000}, {"hard_limit_ms", 60000},
+Json make_config(const std::string& discovery) {
+    Json class_settings{{"name", "safe"}, {"effect", "retryable"}, {"aim_ms", 4000}, {"hard_limit_ms", 60000},
         {"window_ms", 4000}, {"worth", 1}};
-    return Json{{"name", "n0"}, {"listen", "127.0.0.1:0"}, {"discovery", agent}, {"seed", "8c1f30d27a5be964"},
+    return Json{{"name", "n0"}, {"listen", "127.0.0.1:0"}, {"discovery", discovery},
+        {"seed", "8c1f30d27a5be964"},
         {"limits", {{"cores", 1.0}, {"memory_mb", 256}, {"sockets", 256}, {"disk_mb", 64}}},
-        {"settings", {{"classes", {kind}}, {"tenants", {{{"name", "acme"}}}}, {"kinds", {"shop"}},
+        {"settings", {{"classes", {class_settings}}, {"tenants", {{{"name", "acme"}}}}, {"kinds", {"shop"}},
                          {"localities", {"a"}}, {"family_info", {{"slots", 8}}}, {"n_instances", 1},
                          {"limits", {{"most_held", 40}, {"max_attempts", 12}, {"cancel", true},
                                         {"conn_idle_ms", 10000}, {"connect_timeout_ms", 1000}}},
@@ -180,56 +183,58 @@
                                           {"cold_from", 0.16}}}}}};
 }
 
-/// Processor time of this thread: a turn that waits costs nothing.
+/// Processor time of this thread. An iteration of the event loop that only waits costs almost nothing.
 double thread_seconds() {
     timespec time{};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
     return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * 1e-9;
 }
 
-/// The longest turn of a forwarder's event loop, by its processor time, from its start until it has taken the
-/// list and the same list once more.
+/// The longest iteration of a forwarder's event loop in processor time, from the forwarder's start until it
+/// has applied the list and then the same list again.
 void event_loop(benchmark::State& state) {
-    const auto targets = static_cast<std::size_t>(state.range(0));
+    const auto endpoint_count = static_cast<std::size_t>(state.range(0));
     for (auto _ : state) {
         std::ostringstream log;
-        auto* const err = std::cerr.rdbuf(log.rdbuf());
+        auto* const saved_cerr = std::cerr.rdbuf(log.rdbuf());
         std::string name = (std::filesystem::temp_directory_path() / "list_bench-XXXXXX").string();
-        if (mkdtemp(name.data()) == nullptr) return state.SkipWithError("no temporary folder");
+        if (mkdtemp(name.data()) == nullptr) return state.SkipWithError("cannot create a temporary folder");
         malloc_trim(0);
-        Agent agent(targets);
+        DiscoveryServer discovery(endpoint_count);
         const std::size_t heap_before = heap_bytes();
         {
             asio::io_context io(1);
-            Config config = read_config(make_config(agent.address()));
+            Config config = read_config(make_config(discovery.address()));
             config.state = name;
             Forwarder forwarder(io, std::move(config));
             forwarder.start();
-            const auto begun = Clock::now();
-            double longest = 0.0, all = 0.0, longest_first = 0.0;
-            std::size_t heap_most = 0;
-            std::size_t turns = 0;
-            while (agent.taken() < 2 && (agent.taken() > 0 || agent.told() <= kRefusals) &&
-                   Clock::now() - begun < kBound) {
-                const double before = thread_seconds();
+            const auto started = Clock::now();
+            double longest_s = 0.0, total_s = 0.0, longest_before_applied_s = 0.0;
+            std::size_t max_heap = 0;
+            std::size_t iterations = 0;
+            while (discovery.applied_count() < 2 &&
+                   (discovery.applied_count() > 0 || discovery.sent_count() <= kMaxRejectedLists) &&
+                   Clock::now() - started < kMaxEventLoopTime) {
+                const double iteration_started_s = thread_seconds();
                 io.run_one_for(100ms);
-                const double took = thread_seconds() - before;
-                longest = std::max(longest, took);
-                if (agent.taken() == 0) longest_first = longest;
-                all += took;
-                if (++turns % 64 == 0 || took > 0.005) heap_most = std::max(heap_most, heap_bytes());
+                const double iteration_s = thread_seconds() - iteration_started_s;
+                longest_s = std::max(longest_s, iteration_s);
+                if (discovery.applied_count() == 0) longest_before_applied_s = longest_s;
+                total_s += iteration_s;
+                if (++iterations % 64 == 0 || iteration_s > 0.005)
+                    max_heap = std::max(max_heap, heap_bytes());
             }
-            state.SetIterationTime(seconds_since(begun));
-            state.counters["taken"] = agent.taken();
-            state.counters["longest_turn_ms"] = longest * 1e3;
-            state.counters["longest_turn_first_ms"] = longest_first * 1e3;
-            state.counters["processor_ms"] = all * 1e3;
-            const auto count = static_cast<double>(targets);
+            state.SetIterationTime(seconds_since(started));
+            state.counters["taken"] = discovery.applied_count();
+            state.counters["longest_turn_ms"] = longest_s * 1e3;
+            state.counters["longest_turn_first_ms"] = longest_before_applied_s * 1e3;
+            state.counters["processor_ms"] = total_s * 1e3;
+            const auto count = static_cast<double>(endpoint_count);
             state.counters["heap_bytes_an_entry"] = static_cast<double>(heap_bytes() - heap_before) / count;
             state.counters["most_heap_mb"] =
-                static_cast<double>(heap_most - std::min(heap_most, heap_before)) / 1e6;
+                static_cast<double>(max_heap - std::min(max_heap, heap_before)) / 1e6;
         }
-        std::cerr.rdbuf(err);
+        std::cerr.rdbuf(saved_cerr);
         const std::string text = log.str();
         if (const auto at = text.find("discovery: "); at != std::string::npos)
             state.SetLabel(text.substr(at, text.find('\n', at) - at));
@@ -239,7 +244,7 @@
 }
 
 void sizes(benchmark::internal::Benchmark* bench) {
-    for (const std::int64_t targets : {1'000, 10'000, 100'000, 310'000}) bench->Arg(targets);
+    for (const std::int64_t endpoint_count : {1'000, 10'000, 100'000, 310'000}) bench->Arg(endpoint_count);
     bench->Iterations(1)->UseManualTime()->Unit(benchmark::kMillisecond);
 }
 
