--- a/bench/fleet_scale.cpp
+++ b/bench/fleet_scale.cpp
@@ -1,4 +1,5 @@
-/// What a fleet of forwarders gets through, and what it costs the endpoints, by the number of forwarders.
+/// Measures how many messages a fleet of forwarders delivers and how much load it puts on the endpoints, by
+/// the number of forwarders.
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
@@ -12,30 +13,32 @@
 namespace cometspoke::bench {
 namespace {
 
-/// How much is offered: by each forwarder its part of the plan; or by the fleet the plan's part for each
-/// destination, so that a scaled-down list sees the traffic that each destination would see.
+/// The offered load. With ByForwarder each forwarder has the planned message rate of one forwarder. With
+/// ByDestination the fleet has the planned rate of each destination, so that each destination of a
+/// scaled-down list sees the traffic that it would see in the full list.
 enum class Offer : std::int64_t { ByForwarder = 0, ByDestination = 1 };
 
-constexpr double kPerDestination = kMessagesPerSecond * kForwarders / kDestinations;  // messages a second
+constexpr double kDestinationMessagesPerSecond = kMessagesPerSecond * kForwarders / kDestinations;
 
-WallTime bound = FleetOptions{}.bound;
+WallTime max_case_time = FleetOptions{}.bound;
 
 FleetOptions options_for(const benchmark::State& state) {
     FleetOptions options;
-    options.bound = bound;
+    options.bound = max_case_time;
     options.forwarders = static_cast<std::size_t>(state.range(0));
     options.workload.forwarders = options.forwarders;
     options.workload.destinations = static_cast<std::size_t>(state.range(1));
     options.workload.endpoints_each = EndpointsEach::One;
     options.workload.most_held = 100'000;
     if (static_cast<Offer>(state.range(2)) == Offer::ByDestination)
-        options.messages_per_s = kPerDestination * static_cast<double>(options.workload.destinations) /
+        options.messages_per_s = kDestinationMessagesPerSecond *
+                                 static_cast<double>(options.workload.destinations) /
                                  static_cast<double>(options.forwarders);
     return options;
 }
 
-double per_second(std::uint64_t count, Time span) {
-    return static_cast<double>(count) * 1e6 / static_cast<double>(std::max<Time::rep>(1, span.count()));
+double per_second(std::uint64_t count, Time duration) {
+    return static_cast<double>(count) * 1e6 / static_cast<double>(std::max<Time::rep>(1, duration.count()));
 }
 
 void report_endpoints(benchmark::State& state, const FleetReport& report) {
@@ -94,14 +97,14 @@
     }
 }
 
-/// 4.3% of the destinations are down throughout. Arguments: forwarders, destinations, Offer.
+/// 4.3% of the destinations are down for the whole run. Arguments: forwarders, destinations, Offer.
 void fleet_down(benchmark::State& state) {
     FleetOptions options = options_for(state);
     options.workload.down_share = kDownShare;
     run(state, options);
 }
 
-/// 4.3% of the destinations are down from 1 s to 5 s, and their return is watched for 7 s more.
+/// 4.3% of the destinations are down from 1 s to 5 s; the run continues for 7 s to cover their recovery.
 void fleet_back(benchmark::State& state) {
     FleetOptions options = options_for(state);
     options.workload.down_share = kDownShare;
@@ -111,14 +114,16 @@
     run(state, options);
 }
 
-/// All are well; each destination lists 5 calls a second, and its endpoint turns away more.
+/// All endpoints are healthy; each destination lists a limit of 5 calls a second, and its endpoint rejects
+/// calls above it.
 void fleet_listed(benchmark::State& state) {
     FleetOptions options = options_for(state);
     options.workload.listed_rates = true;
     run(state, options);
 }
 
-/// The same, but only one forwarder of the fleet is there: what its own part lets it send.
+/// As fleet_listed, but only one forwarder of the fleet runs: measures how much its own share of the limits
+/// lets it send.
 void fleet_listed_alone(benchmark::State& state) {
     FleetOptions options = options_for(state);
     options.workload.listed_rates = true;
@@ -137,7 +142,7 @@
 }
 
 void register_cases(const CaseSizes& sizes) {
-    if (sizes.bound_s) bound = WallTime(*sizes.bound_s);
+    if (sizes.bound_s) max_case_time = WallTime(*sizes.bound_s);
     const bool small = sizes.sizes == Sizes::Small;
     const std::vector<std::int64_t> forwarders =
         small ? std::vector<std::int64_t>{1, 3} : std::vector<std::int64_t>{3, 50, 350, 730};
--- a/bench/scale_series.cpp
+++ b/bench/scale_series.cpp
@@ -35,14 +35,14 @@
 }  // namespace
 
 std::optional<Growth> growth_of(const std::vector<SeriesPoint>& points) {
-    double largest = 0.0;
-    for (const SeriesPoint& point : points) largest = std::max(largest, point.size);
-    std::vector<SeriesPoint> last;
+    double largest_size = 0.0;
+    for (const SeriesPoint& point : points) largest_size = std::max(largest_size, point.size);
+    std::vector<SeriesPoint> last_decade;
     for (const SeriesPoint& point : points)
-        if (point.size >= largest / kDecade) last.push_back(point);
-    const std::optional<double> slope = slope_of(last);
+        if (point.size >= largest_size / kDecade) last_decade.push_back(point);
+    const std::optional<double> slope = slope_of(last_decade);
     if (!slope) return std::nullopt;
-    return Growth{*slope, exponent_of(last)};
+    return Growth{*slope, exponent_of(last_decade)};
 }
 
 }  // namespace cometspoke::bench
--- a/bench/scale_series.hpp
+++ b/bench/scale_series.hpp
@@ -1,4 +1,4 @@
-/// How a measured figure grows with a size.
+/// Computes how a measured figure grows with the size of its case.
 #pragma once
 
 #include <optional>
@@ -11,14 +11,14 @@
     double value = 0.0;
 };
 
-/// Least-squares slopes over the last decade of sizes (from a tenth of the largest on).
+/// Least-squares slopes over the last decade of sizes (sizes of at least a tenth of the largest).
 struct Growth {
-    double per_unit = 0.0;  ///< of value over size
+    double per_unit = 0.0;  ///< increase of the value per unit of size
     std::optional<double>
-        exponent;  ///< of log value over log size: 0 is flat, 1 linear; needs values above 0
+        exponent;  ///< slope of log value over log size: 0 is constant, 1 linear; only if all are above 0
 };
 
-/// None where the last decade has fewer than two sizes.
+/// Returns nothing if the last decade has fewer than two sizes.
 std::optional<Growth> growth_of(const std::vector<SeriesPoint>& points);
 
 }  // namespace cometspoke::bench
--- a/bench/scale_table.cpp
+++ b/bench/scale_table.cpp
@@ -1,4 +1,4 @@
-/// Prints the results of the bench programs (JSON lines) as plain tables with slopes.
+/// Prints the results of the benchmark programs (JSON lines) as text tables with slopes.
 #include <cmath>
 #include <cstdio>
 #include <fstream>
@@ -17,29 +17,29 @@
 namespace cometspoke::bench {
 namespace {
 
-/// What one case gave.
+/// The result of one case.
 struct Result {
     std::map<std::string, double> figures;
-    std::string error;  ///< or the reason why there are none
+    std::string error;  ///< why there are no figures; empty if the case succeeded
 };
 
-/// A case's name in parts: "steady/destinations:1000/held:0".
+/// The parts of a case name such as "steady/destinations:1000/held:0".
 struct CaseName {
     std::string bench;
     std::vector<std::pair<std::string, double>> arguments;
 };
 
-/// The cases of a bench that differ only in the size along the axis.
+/// The cases of a benchmark that differ only in the argument along the columns.
 struct Series {
-    std::string label;  ///< bench and the other arguments
+    std::string label;  ///< the other arguments
     std::map<double, Result> by_size;
 };
 
-/// What a figure says of a case that was cut short.
+/// What a figure means for a case that was cut short.
 enum class WhenCut {
-    Mean,     ///< the mean of the part that ran
-    Partial,  ///< a count or maximum of that part, of no use for a slope
-    Total     ///< nothing but that it would have been more
+    Mean,     ///< the mean over the part that ran
+    Partial,  ///< a count or maximum over that part, not usable for a slope
+    Total     ///< only a lower bound of the total
 };
 
 struct Figure {
@@ -51,7 +51,7 @@
 struct Table {
     const char* bench;
     const char* title;
-    const char* axis;  ///< the argument along the columns
+    const char* axis;  ///< the argument whose values are the columns
     std::vector<Figure> figures;
 };
 
@@ -60,7 +60,7 @@
         {{"mean_turn_ms", "time, ms"}, {"heap_mb", "heap, MB"},
             {"bytes_a_destination", "heap, B a destination"}}},
     {"list_repeated", "The same whole list again", "destinations", {{"mean_turn_ms", "time, ms"}}},
-    {"list_change", "A list of changes (with the tidying turn after it)", "destinations",
+    {"list_change", "A list of changes (with the cleanup turn after it)", "destinations",
         {{"change_ms", "change, ms"}, {"worst_turn_ms", "worst turn, ms", WhenCut::Partial}}},
     {"steady", "104 messages a second, 4.3% of endpoints down", "destinations",
         {{"mean_turn_ms", "mean turn, ms"}, {"worst_turn_ms", "worst turn, ms", WhenCut::Partial},
@@ -71,13 +71,13 @@
     {"held_heap", "Heap of held messages", "held",
         {{"heap_mb", "heap, MB"}, {"bytes_a_message", "heap, B a message"}}},
     {"one_more", "One more message while messages are held", "held",
-        {{"to_closed_ms", "to a closed destination, ms"}, {"to_well_ms", "to a well one, ms"},
+        {{"to_closed_ms", "to a closed destination, ms"}, {"to_well_ms", "to a healthy one, ms"},
             {"worst_turn_ms", "worst turn, ms", WhenCut::Partial}}},
     {"timer_sweep", "A timer while messages are held", "held",
         {{"mean_turn_ms", "mean turn, ms"}, {"worst_turn_ms", "worst turn, ms", WhenCut::Partial}}},
-    {"take_on", "Taking on messages (20,000 unless cut), cost of all turns", "destinations",
+    {"take_on", "Accepting messages (20,000 unless cut short), cost of all turns", "destinations",
         {{"total_s", "all turns, s", WhenCut::Total}, {"worst_turn_ms", "worst turn, ms", WhenCut::Partial},
-            {"taken_on", "messages taken on", WhenCut::Partial}}},
+            {"taken_on", "messages accepted", WhenCut::Partial}}},
     {"fleet_down", "Fleet, 4.3% of destinations down, 5 s", "forwarders",
         {{"offered", "offered", WhenCut::Partial}, {"sent", "sent", WhenCut::Partial},
             {"served", "served", WhenCut::Partial}, {"served_share", "served share"},
@@ -93,12 +93,12 @@
         {{"offered", "offered", WhenCut::Partial}, {"served", "served", WhenCut::Partial},
             {"served_share", "served share"}, {"to_down", "calls to down endpoints", WhenCut::Partial},
             {"most_at_one_in_1s", "most calls at one endpoint in 1 s", WhenCut::Partial},
-            {"most_at_one_in_second_6", "  in the first second back", WhenCut::Partial},
+            {"most_at_one_in_second_6", "  in the first second of recovery", WhenCut::Partial},
             {"ran_s", "ran, s", WhenCut::Partial}}},
-    {"fleet_listed", "Fleet, each destination lists 5 calls a second, all well, 5 s", "forwarders",
+    {"fleet_listed", "Fleet, each destination lists 5 calls a second, all healthy, 5 s", "forwarders",
         {{"offered", "offered", WhenCut::Partial}, {"sent", "sent", WhenCut::Partial},
             {"served", "served", WhenCut::Partial}, {"served_share", "served share"},
-            {"turned_away", "turned away at endpoints", WhenCut::Partial},
+            {"turned_away", "rejected by endpoints", WhenCut::Partial},
             {"most_at_one_in_1s", "most calls at one endpoint in 1 s", WhenCut::Partial},
             {"ran_s", "ran, s", WhenCut::Partial}}},
     {"fleet_listed_alone", "One forwarder of a fleet, each destination lists 5 calls a second, 5 s",
@@ -135,9 +135,9 @@
     return result;
 }
 
-/// All series of a bench, by label.
+/// All series of a benchmark, by label.
 std::map<std::string, Series> read_series(const std::vector<nlohmann::json>& lines, const Table& table) {
-    std::map<std::string, Series> all;
+    std::map<std::string, Series> all_series;
     for (const nlohmann::json& line : lines) {
         const CaseName name = parse_name(line.at("case").get<std::string>());
         if (name.bench != table.bench) continue;
@@ -148,16 +148,16 @@
                 size = value;
             else
                 label += " " + argument + ":" + number_text(value);
-        Series& series = all[label];
+        Series& series = all_series[label];
         series.label = label;
         series.by_size[size] = read_result(line);
     }
-    return all;
+    return all_series;
 }
 
 bool was_cut(const Result& result) { return result.figures.contains("over_s"); }
 
-/// A figure, marked where its case was cut short; or why there is none.
+/// The text of a figure, marked if its case was cut short, or the reason why there is no figure.
 std::string cell_text(const Result& result, const Figure& figure) {
     if (!result.error.empty()) return result.error;
     const auto found = result.figures.find(figure.name);
@@ -177,7 +177,8 @@
     return points;
 }
 
-/// The slopes of a figure, if its last decade of sizes has values enough.
+/// The slopes of a figure, if the last decade of sizes holds at least two values, one of them at the largest
+/// size.
 std::optional<Growth> growth_in(const Series& series, const Figure& figure) {
     const std::vector<SeriesPoint> points = points_of(series, figure);
     if (points.empty() || points.back().size < series.by_size.rbegin()->first) return std::nullopt;
@@ -206,16 +207,16 @@
 }
 
 void print_table(const std::vector<nlohmann::json>& lines, const Table& table) {
-    const std::map<std::string, Series> all = read_series(lines, table);
-    if (all.empty()) return;
+    const std::map<std::string, Series> all_series = read_series(lines, table);
+    if (all_series.empty()) return;
     std::printf("\n%s (%s)\n", table.title, table.bench);
-    for (const auto& [label, series] : all) {
+    for (const auto& [label, series] : all_series) {
         std::printf(" %s\n", label.c_str());
         print_series(series, table);
     }
 }
 
-/// The lines of a file; a later line of a case replaces an earlier one.
+/// Reads the lines of a result file. read_series() lets a later line of a case replace an earlier one.
 std::vector<nlohmann::json> read_lines(const char* path) {
     std::ifstream file(path);
     if (!file) throw std::runtime_error(std::string("cannot read ") + path);
@@ -238,9 +239,9 @@
         const auto lines = read_lines(arguments[1]);
         for (const Table& table : kTables) print_table(lines, table);
         std::printf(
-            "\nSlopes: least squares over the last decade of sizes. Exponent: the same of the logarithms (0 "
+            "\nSlopes: least squares over the last decade of sizes. Exponent: the slope of the logarithms (0 "
             "flat, 1 "
-            "linear).\n* cut short at its bound of time: the figure is that of the part that ran.\n");
+            "linear).\n* cut short at its time limit: the figure covers the part that ran.\n");
     } catch (const std::exception& failure) {
         std::cerr << "scale_table: " << failure.what() << "\n";
         return 1;
