--- a/bench/heap_meter.hpp
+++ b/bench/heap_meter.hpp
@@ -1,13 +1,13 @@
-/// Heap bytes in use, counted by replaced global operator new and delete (linked into the bench programs
-/// only).
+/// Counts the heap bytes in use by replacing the global operators new and delete. Only the benchmark programs
+/// link it.
 #pragma once
 
 #include <cstddef>
 
 namespace cometspoke::bench {
 
-/// Usable bytes of all blocks that operator new has given out and operator delete has not taken back.
-/// Headers of the allocator (8 bytes a block with glibc) are counted in.
+/// Usable bytes of all blocks allocated by operator new and not yet freed by operator delete, including the
+/// allocator's header of each block (8 bytes with glibc).
 std::size_t heap_in_use();
 
 }  // namespace cometspoke::bench
--- a/bench/json_line_reporter.cpp
+++ b/bench/json_line_reporter.cpp
@@ -21,13 +21,13 @@
         ConsoleReporter::ReportRuns(runs);
         for (const Run& run : runs) {
             failed_ = failed_ || run.error_occurred;
-            if (file_.is_open()) file_ << line_of(run).dump() << std::endl;
+            if (file_.is_open()) file_ << json_of(run).dump() << std::endl;
         }
     }
     bool failed() const { return failed_; }
 
 private:
-    static nlohmann::json line_of(const Run& run) {
+    static nlohmann::json json_of(const Run& run) {
         nlohmann::json line{{"case", run.run_name.function_name + "/" + run.run_name.args}};
         if (run.error_occurred) {
             line["error"] = run.error_message;
@@ -45,28 +45,28 @@
 }  // namespace
 
 int run_cases(int count, char** arguments, const std::function<void(const CaseSizes&)>& register_cases) {
-    constexpr std::string_view kJsonLines = "--json_lines=";
-    constexpr std::string_view kDestinations = "--destinations=";
-    constexpr std::string_view kBound = "--bound_s=";
+    constexpr std::string_view kJsonLinesFlag = "--json_lines=";
+    constexpr std::string_view kDestinationsFlag = "--destinations=";
+    constexpr std::string_view kBoundFlag = "--bound_s=";
     std::string path;
     CaseSizes sizes;
-    std::vector<char*> others;
+    std::vector<char*> remaining;
     for (int i = 0; i < count; ++i) {
         const std::string argument = arguments[i];
         if (argument == "--small")
             sizes.sizes = Sizes::Small;
-        else if (argument.starts_with(kJsonLines))
-            path = argument.substr(kJsonLines.size());
-        else if (argument.starts_with(kDestinations))
-            sizes.destinations = std::stoll(argument.substr(kDestinations.size()));
-        else if (argument.starts_with(kBound))
-            sizes.bound_s = std::stod(argument.substr(kBound.size()));
+        else if (argument.starts_with(kJsonLinesFlag))
+            path = argument.substr(kJsonLinesFlag.size());
+        else if (argument.starts_with(kDestinationsFlag))
+            sizes.destinations = std::stoll(argument.substr(kDestinationsFlag.size()));
+        else if (argument.starts_with(kBoundFlag))
+            sizes.bound_s = std::stod(argument.substr(kBoundFlag.size()));
         else
-            others.push_back(arguments[i]);
+            remaining.push_back(arguments[i]);
     }
-    int other_count = static_cast<int>(others.size());
-    benchmark::Initialize(&other_count, others.data());
-    if (benchmark::ReportUnrecognizedArguments(other_count, others.data())) return 1;
+    int remaining_count = static_cast<int>(remaining.size());
+    benchmark::Initialize(&remaining_count, remaining.data());
+    if (benchmark::ReportUnrecognizedArguments(remaining_count, remaining.data())) return 1;
     register_cases(sizes);
     JsonLineReporter reporter(path);
     benchmark::RunSpecifiedBenchmarks(&reporter);
