--- a/tests/fault/fault_shim.cpp
+++ b/tests/fault/fault_shim.cpp
@@ -1,8 +1,9 @@
-/// A library for LD_PRELOAD that makes system calls of a program fail as a test asks (fault_control.hpp).
+/// A library for LD_PRELOAD that makes system calls of a program fail as a test requests (fault_control.hpp).
 ///
-/// With FAULT_CONTROL the shared file tells. With FAULT_RANDOM, such as "recv=20000,write=30000", and
-/// FAULT_SEED it fails calls by chance, so many in a million; FAULT_CLOCK_MS steps the wall clock at that
-/// interval.
+/// FAULT_CONTROL names the shared file with the faults. FAULT_RANDOM, such as "recv=20000,write=30000", makes
+/// calls fail at random with the given number of failures per million calls, seeded by FAULT_SEED.
+/// FAULT_CLOCK_MS steps the wall clock at that interval in milliseconds. With FAULT_KEEPS_CONNECTIONS set, an
+/// error that reports a broken connection does not shut the connection down.
 #ifndef _GNU_SOURCE
 #define _GNU_SOURCE
 #endif
@@ -35,9 +36,9 @@
 using fault::Call;
 using fault::Peer;
 
-constexpr int kMostDescriptors = 65536;
+constexpr int kMaxDescriptors = 65536;
 
-/// The next definition of a function behind this library.
+/// The definition of a function in the libraries loaded after this one.
 template <class Function>
 Function* next(const char* name) {
     return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
@@ -52,14 +53,14 @@
     Peer peer = Peer::Other;
     std::uint32_t port = 0;
 };
-Descriptor descriptors[kMostDescriptors];
+Descriptor descriptors[kMaxDescriptors];
 
-void remember(int fd, Peer peer, std::uint32_t port = 0) {
-    if (fd >= 0 && fd < kMostDescriptors) descriptors[fd] = {peer, port};
+void record_descriptor(int fd, Peer peer, std::uint32_t port = 0) {
+    if (fd >= 0 && fd < kMaxDescriptors) descriptors[fd] = {peer, port};
 }
-Descriptor descriptor_of(int fd) { return fd >= 0 && fd < kMostDescriptors ? descriptors[fd] : Descriptor{}; }
+Descriptor descriptor_of(int fd) { return fd >= 0 && fd < kMaxDescriptors ? descriptors[fd] : Descriptor{}; }
 
-/// The errors that random faults choose from, by call.
+/// The errors that a random fault of each call is chosen from.
 struct Errors {
     Call call;
     const char* name;
@@ -84,10 +85,10 @@
     {Call::Lock, "flock", {EINTR, ENOLCK, EINTR, ENOLCK, EINTR}},
 };
 
-/// What a broken connection reports: the other side must see its end too.
-constexpr int kBrokenErrors[] = {ECONNRESET, ETIMEDOUT, EHOSTUNREACH, EPIPE};
-bool is_broken(int error) {
-    for (const int one : kBrokenErrors)
+/// Errors that report a broken connection. The connection is shut down so that the peer sees the end too.
+constexpr int kBrokenConnectionErrors[] = {ECONNRESET, ETIMEDOUT, EHOSTUNREACH, EPIPE};
+bool is_broken_connection(int error) {
+    for (const int one : kBrokenConnectionErrors)
         if (one == error) return true;
     return false;
 }
@@ -113,7 +114,7 @@
     }
 }
 
-__attribute__((constructor)) void set_up() {
+__attribute__((constructor)) void initialize() {
     if (const char* path = getenv("FAULT_CONTROL")) {
         const int fd = REAL(open)(path, O_RDWR | O_CLOEXEC);
         void* memory = mmap(nullptr, sizeof(fault::Control), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
@@ -125,7 +126,8 @@
     if (const char* interval = getenv("FAULT_CLOCK_MS")) clock_interval_us = atoll(interval) * 1000;
     if (getenv("FAULT_KEEPS_CONNECTIONS") != nullptr) breaks_connections = false;
     std::uint64_t start = control->starts++;
-    if (control == &own_control) {  // nothing else tells a process from the one before it
+    if (control == &own_control) {
+        // Without a shared file, only the time distinguishes a process from the previous one.
         timespec now{};
         REAL(clock_gettime)(CLOCK_MONOTONIC, &now);
         start = static_cast<std::uint64_t>(now.tv_nsec);
@@ -144,7 +146,7 @@
     return 0;
 }
 
-/// The rule that this call meets now, if one does.
+/// Returns the rule that makes this call fail, or null, and counts the call for the rules that it matches.
 fault::Rule* matching_rule(Call call, const Descriptor& on) {
     for (fault::Rule& rule : control->rules) {
         if (rule.call != call) continue;
@@ -158,45 +160,45 @@
     return nullptr;
 }
 
-/// The error that this call is to report; 0 where it is to be carried out.
-int error_for(Call call, const Descriptor& on, fault::Rule** met = nullptr) {
+/// Returns the error that this call must report, or 0 if the call is to be executed.
+int error_for(Call call, const Descriptor& on, fault::Rule** matched = nullptr) {
     if (fault::Rule* rule = matching_rule(call, on)) {
-        if (met != nullptr) *met = rule;
+        if (matched != nullptr) *matched = rule;
         if (rule->error == fault::kKilled) raise(SIGKILL);
         return rule->error;
     }
     return random_error(call);
 }
 
-/// Carries out `whole`, or `one_byte`, or fails.
+/// Executes the `whole` transfer, or a transfer of `one_byte`, or fails.
 template <class Result, class Whole, class OneByte>
 Result transfer(Call call, int fd, Whole whole, OneByte one_byte) {
     const Descriptor on = descriptor_of(fd);
     const int error = error_for(call, on);
     if (error == 0) return whole();
     if (error == fault::kShortTransfer) return one_byte();
-    if (is_broken(error) && breaks_connections) ::shutdown(fd, SHUT_RDWR);
+    if (is_broken_connection(error) && breaks_connections) ::shutdown(fd, SHUT_RDWR);
     errno = error;
     return -1;
 }
 
-template <class Result, class Carry>
-Result call_or_fail(Call call, const Descriptor& on, Carry carry) {
+template <class Result, class Execute>
+Result call_or_fail(Call call, const Descriptor& on, Execute execute) {
     const int error = error_for(call, on);
-    if (error == 0 || error == fault::kShortTransfer) return carry();
+    if (error == 0 || error == fault::kShortTransfer) return execute();
     errno = error;
     return -1;
 }
 
-template <class Result, class Carry>
-Result carry_out(Carry carry, int fd, Peer peer) {
-    const Result result = carry();
+template <class Result, class Execute>
+Result execute_and_record(Execute execute, int fd, Peer peer) {
+    const Result result = execute();
     (void)fd;
-    if (result >= 0) remember(static_cast<int>(result), peer);
+    if (result >= 0) record_descriptor(static_cast<int>(result), peer);
     return result;
 }
 
-/// One buffer of one byte, for a transfer that is cut short.
+/// A message header with a single buffer of one byte, for a short transfer.
 msghdr first_byte_of(const msghdr& message, iovec& piece) {
     msghdr one = message;
     for (std::size_t i = 0; i < message.msg_iovlen; ++i)
@@ -228,22 +230,24 @@
 extern "C" {
 
 int accept(int fd, sockaddr* address, socklen_t* length) {
-    return call_or_fail<int>(Call::Accept, descriptor_of(fd),
-        [&] { return carry_out<int>([&] { return REAL(accept)(fd, address, length); }, fd, Peer::Client); });
+    return call_or_fail<int>(Call::Accept, descriptor_of(fd), [&] {
+        return execute_and_record<int>([&] { return REAL(accept)(fd, address, length); }, fd, Peer::Client);
+    });
 }
 int accept4(int fd, sockaddr* address, socklen_t* length, int flags) {
     return call_or_fail<int>(Call::Accept, descriptor_of(fd), [&] {
-        return carry_out<int>([&] { return REAL(accept4)(fd, address, length, flags); }, fd, Peer::Client);
+        return execute_and_record<int>(
+            [&] { return REAL(accept4)(fd, address, length, flags); }, fd, Peer::Client);
     });
 }
 int socket(int domain, int type, int protocol) {
     return call_or_fail<int>(Call::Socket, {}, [&] {
-        return carry_out<int>([&] { return REAL(socket)(domain, type, protocol); }, -1, Peer::Other);
+        return execute_and_record<int>([&] { return REAL(socket)(domain, type, protocol); }, -1, Peer::Other);
     });
 }
 int connect(int fd, const sockaddr* address, socklen_t length) {
     if (address->sa_family == AF_INET)
-        remember(fd, Peer::Outgoing, ntohs(reinterpret_cast<const sockaddr_in*>(address)->sin_port));
+        record_descriptor(fd, Peer::Outgoing, ntohs(reinterpret_cast<const sockaddr_in*>(address)->sin_port));
     return call_or_fail<int>(
         Call::Connect, descriptor_of(fd), [&] { return REAL(connect)(fd, address, length); });
 }
@@ -283,12 +287,12 @@
         });
 }
 
-int epoll_wait(int fd, epoll_event* events, int most, int milliseconds) {
+int epoll_wait(int fd, epoll_event* events, int max_events, int timeout_ms) {
     return call_or_fail<int>(
-        Call::Wait, {}, [&] { return REAL(epoll_wait)(fd, events, most, milliseconds); });
+        Call::Wait, {}, [&] { return REAL(epoll_wait)(fd, events, max_events, timeout_ms); });
 }
-int poll(pollfd* entries, nfds_t count, int milliseconds) {
-    return call_or_fail<int>(Call::Wait, {}, [&] { return REAL(poll)(entries, count, milliseconds); });
+int poll(pollfd* entries, nfds_t count, int timeout_ms) {
+    return call_or_fail<int>(Call::Wait, {}, [&] { return REAL(poll)(entries, count, timeout_ms); });
 }
 int epoll_ctl(int fd, int operation, int on, epoll_event* event) {
     if (operation != EPOLL_CTL_ADD) return REAL(epoll_ctl)(fd, operation, on, event);
@@ -296,27 +300,27 @@
         Call::WatchControl, descriptor_of(on), [&] { return REAL(epoll_ctl)(fd, operation, on, event); });
 }
 
-static int open_by(int (*real)(const char*, int, ...), const char* path, int flags, mode_t mode) {
-    const bool ours = strncmp(path, "/proc", 5) != 0 && strncmp(path, "/sys", 4) != 0;
-    if (!ours) return real(path, flags, mode);
+static int open_or_fail(int (*real)(const char*, int, ...), const char* path, int flags, mode_t mode) {
+    const bool injectable = strncmp(path, "/proc", 5) != 0 && strncmp(path, "/sys", 4) != 0;
+    if (!injectable) return real(path, flags, mode);
     return call_or_fail<int>(Call::Open, {Peer::File, 0},
-        [&] { return carry_out<int>([&] { return real(path, flags, mode); }, -1, Peer::File); });
+        [&] { return execute_and_record<int>([&] { return real(path, flags, mode); }, -1, Peer::File); });
 }
 int open(const char* path, int flags, ...) {
     va_list arguments;
     va_start(arguments, flags);
     const mode_t mode = (flags & O_CREAT) != 0 ? va_arg(arguments, mode_t) : 0;
     va_end(arguments);
-    return open_by(&REAL(open), path, flags, mode);
+    return open_or_fail(&REAL(open), path, flags, mode);
 }
 int open64(const char* path, int flags, ...) {
     va_list arguments;
     va_start(arguments, flags);
     const mode_t mode = (flags & O_CREAT) != 0 ? va_arg(arguments, mode_t) : 0;
     va_end(arguments);
-    return open_by(&REAL(open64), path, flags, mode);
+    return open_or_fail(&REAL(open64), path, flags, mode);
 }
-/// The streams of the C++ library open by this one.
+/// The file streams of the C++ library open files with this function.
 FILE* fopen64(const char* path, const char* mode) {
     const int error = error_for(Call::Open, {Peer::File, 0});
     if (error == 0 || error == fault::kShortTransfer) return REAL(fopen64)(path, mode);
@@ -336,14 +340,14 @@
         Call::Read, fd, [&] { return REAL(read)(fd, data, size); },
         [&] { return REAL(read)(fd, data, size > 0 ? 1 : 0); });
 }
-/// Only of files: the log goes to standard error, which tests keep in a file.
+/// Fails only for regular files. Standard error is excluded because tests redirect the log to a file.
 ssize_t write(int fd, const void* data, size_t size) {
     if (fd <= 2 || !is_regular(fd)) return REAL(write)(fd, data, size);
-    fault::Rule* met = nullptr;
-    const int error = error_for(Call::Write, {Peer::File, 0}, &met);
+    fault::Rule* matched = nullptr;
+    const int error = error_for(Call::Write, {Peer::File, 0}, &matched);
     if (error == 0) return REAL(write)(fd, data, size);
     if (error == fault::kTornAndKilled) {
-        const auto part = static_cast<size_t>(met->detail.load());
+        const auto part = static_cast<size_t>(matched->detail.load());
         if (REAL(write)(fd, data, part < size ? part : size) >= 0) raise(SIGKILL);
     }
     if (error == fault::kShortTransfer) return REAL(write)(fd, data, size > 0 ? 1 : 0);
