--- a/tests/fault/fault_fixture.hpp
+++ b/tests/fault/fault_fixture.hpp
@@ -1,4 +1,4 @@
-/// The built program between stub sockets, with the fault shim in front of the C library.
+/// Test fixture that runs the program between stub peers, with the fault shim loaded before the C library.
 #pragma once
 
 #include <fcntl.h>
@@ -12,16 +12,17 @@
 
 namespace lockgw {
 
-/// The control block in a file of its own, mapped here; programs that name the file in FAULT_CONTROL obey it.
+/// The fault control block in a shared file that is mapped into this process. A program follows it if
+/// FAULT_CONTROL names the file in its environment.
 class SharedFaultControl {
 public:
     SharedFaultControl() : path_(folder_.path() / "faults") {
         const int fd = ::open(path_.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
         if (fd < 0 || ::ftruncate(fd, sizeof(fault::Control)) != 0)
-            throw std::runtime_error("no file for the fault control");
+            throw std::runtime_error("cannot create the fault control file");
         void* memory = ::mmap(nullptr, sizeof(fault::Control), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
         ::close(fd);
-        if (memory == MAP_FAILED) throw std::runtime_error("the fault control cannot be mapped");
+        if (memory == MAP_FAILED) throw std::runtime_error("cannot map the fault control file");
         control_ = new (memory) fault::Control;
     }
     SharedFaultControl(const SharedFaultControl&) = delete;
@@ -32,7 +33,7 @@
     fault::Control& operator*() { return *control_; }
     fault::Control* operator->() { return control_; }
 
-    /// From now on `skip` matching calls pass and the `times` after them fail.
+    /// From now on the first `skip` matching calls are executed and the next `times` calls fail.
     struct Fault {
         fault::Call call = fault::Call::None;
         std::int32_t error = 0;
@@ -42,17 +43,17 @@
         std::uint32_t port = 0;
     };
     void arm(std::size_t rule, const Fault& fault) {
-        fault::Rule& one = control_->rules.at(rule);
-        one.call = fault::Call::None;
-        one.error = fault.error;
-        one.skip = fault.skip;
-        one.times = fault.times;
-        one.peer = fault.peer;
-        one.detail = fault.detail;
-        one.port = fault.port;
-        one.seen = 0;
-        one.hits = 0;
-        one.call = fault.call;
+        fault::Rule& armed_rule = control_->rules.at(rule);
+        armed_rule.call = fault::Call::None;
+        armed_rule.error = fault.error;
+        armed_rule.skip = fault.skip;
+        armed_rule.times = fault.times;
+        armed_rule.peer = fault.peer;
+        armed_rule.detail = fault.detail;
+        armed_rule.port = fault.port;
+        armed_rule.seen = 0;
+        armed_rule.hits = 0;
+        armed_rule.call = fault.call;
     }
     std::int64_t hits(std::size_t rule) const { return control_->rules.at(rule).hits; }
 
@@ -62,20 +63,21 @@
     fault::Control* control_ = nullptr;
 };
 
-/// Has every process of a node run behind the shim.
+/// Makes every process of a node run with the shim.
 inline void preload_shim(Node& node, const SharedFaultControl& faults) {
     node.set_environment("LD_PRELOAD", FAULT_SHIM_PATH);
     node.set_environment("FAULT_CONTROL", faults.path());
-    // the shim comes before the sanitizer's library, which is loaded all the same
+    // The shim precedes the sanitizer's library in the link order. Without this option the sanitizer refuses
+    // to start.
     node.set_environment("ASAN_OPTIONS", "verify_asan_link_order=0");
 }
 
 class FaultNodeTest : public NodeTest {
 protected:
     FaultNodeTest() { preload_shim(node, faults); }
-    ~FaultNodeTest() override { node.kill(); }  // before the control goes
+    ~FaultNodeTest() override { node.kill(); }  // before the fault control is unmapped
 
-    /// The first notice to the platform, which is answered; null where none comes in time.
+    /// Returns the first notice to the platform and responds to it. Null if none arrives in time.
     Json first_notice(std::chrono::milliseconds within = 5s) {
         const auto until = Clock::now() + within;
         while (Clock::now() < until) {
