--- a/tests/fault/fault_replacement_test.cpp
+++ b/tests/fault/fault_replacement_test.cpp
@@ -1,4 +1,5 @@
-// Every system call of two processes fails once, in turn, while one of them replaces the other in service.
+// Each system call of two processes fails once, in separate runs, while one process takes over from the other
+// without an interruption of service.
 #include "fault_sweep.hpp"
 #include "fault_world.hpp"
 
@@ -33,52 +34,54 @@
     {"LockNoLocks", Call::Lock, ENOLCK},
 };
 
-/// A process with calls out is replaced, and both end in order. What went wrong, empty where all rules held.
+/// Replaces a process that has pending calls, then shuts both processes down. Returns the violations; empty
+/// if all rules held.
 std::vector<std::string> run_replacement(FaultWorld& world, const SharedFaultControl::Fault& fault) {
-    constexpr auto time_enough = 15'000ms;
-    constexpr auto slack = 2'000ms;  // beyond the protocol's, for a busy machine
-    const Tcp::endpoint before = Node::other_address(), after = Node::other_address();
+    constexpr auto ample_time = 15'000ms;
+    constexpr auto slack = 2'000ms;  // on top of the protocol's limits, for a busy machine
+    const Tcp::endpoint first_management = Node::other_address(), second_management = Node::other_address();
     const auto failed = [&](const std::string& what) {
-        auto found = world.checker.breaches(slack);
-        found.push_back(what + "\n" + world.node.log());
-        return found;
+        auto violations = world.checker.breaches(slack);
+        violations.push_back(what + "\n" + world.node.log());
+        return violations;
     };
     world.node.hold_listener();
-    world.node.config()["management"] = text_of(before);
-    world.agent.tell(list(2, true, {member("s-1", world.first.address(), 7)}));
-    if (!world.start()) return failed("the first process is not ready");
+    world.node.config()["management"] = text_of(first_management);
+    world.agent.publish(list(2, true, {member("s-1", world.first.address(), 7)}));
+    if (!world.start()) return failed("the first process does not become ready");
     world.first.hold();
     for (const char* kind : {"safe", "unsafe"})
-        if (world.hand_in(kind, time_enough).empty()) return failed("a message is not taken on");
-    if (!world.wait_until([&] { return world.first.holds(2); })) return failed("no calls");
+        if (world.enqueue_message(kind, ample_time).empty()) return failed("a message is not accepted");
+    if (!world.wait_until([&] { return world.first.holds(2); }))
+        return failed("the endpoint does not get both calls");
 
     world.faults.arm(0, fault);
-    world.node.start_beside(after);
-    if (!says_yes(after)) return failed("the second process is not ready");
-    if (world.hand_in("keyed", time_enough).empty()) return failed("a message is not taken on");
+    world.node.start_beside(second_management);
+    if (!says_yes(second_management)) return failed("the second process does not become ready");
+    if (world.enqueue_message("keyed", ample_time).empty()) return failed("a message is not accepted");
     world.first.drop_held();
     if (!world.wait_until([&] { return world.checker.all_ended(); })) return failed("messages do not end");
 
     ::kill(world.node.former(), SIGTERM);
     if (const int status = world.node.wait_former(); status != 0)
-        return failed("the end of the first process was not in order: " + std::to_string(status));
+        return failed("the shutdown of the first process was not orderly: " + std::to_string(status));
     if (const int status = world.terminate(); status != 0)
-        return failed("the end of the second process was not in order: " + std::to_string(status));
+        return failed("the shutdown of the second process was not orderly: " + std::to_string(status));
     return world.checker.breaches(slack);
 }
 
-RunResult replace_with_failing_call(const SweepCase& one, int number) {
+RunResult replace_with_failing_call(const SweepCase& sweep_case, int number) {
     FaultWorld world;
     RunResult result;
-    result.breaches = run_replacement(world, {one.call, one.error, number - 1});
+    result.violations = run_replacement(world, {sweep_case.call, sweep_case.error, number - 1});
     result.reached = world.faults.hits(0) > 0;
     return result;
 }
 
 class ReplacementSweep : public ::testing::TestWithParam<SweepCase> {};
 
-// Guards against a momentary failure of one system call that spoils a replacement in service.
-TEST_P(ReplacementSweep, NoRuleBreaksWhicheverCallFails) { sweep(GetParam(), replace_with_failing_call); }
+// Guards against a transient failure of a single system call that makes the replacement fail or break a rule.
+TEST_P(ReplacementSweep, AllRulesHoldWhicheverCallFails) { sweep(GetParam(), replace_with_failing_call); }
 
 INSTANTIATE_TEST_SUITE_P(
     Calls, ReplacementSweep, ::testing::ValuesIn(kCases), [](const auto& info) { return info.param.name; });
--- a/tests/fault/fault_scenario.hpp
+++ b/tests/fault/fault_scenario.hpp
@@ -1,5 +1,6 @@
-/// One run through all that a forwarder does: start, taking on, calls and their outcomes, notices, a change
-/// of the list, a reload, a crash with calls out, a restart, an end in order.
+/// A run that exercises everything the forwarder does: start, accepting messages, calls and their outcomes,
+/// notices, a change of the endpoint list, a configuration reload, a crash during calls, a restart and an
+/// orderly shutdown.
 #pragma once
 
 #include <functional>
@@ -8,75 +9,79 @@
 
 namespace lockgw {
 
-enum class Phase { Start, Repeats, Notice, ListChange, Reload, Crash, Restart, Shutdown, Count };
+enum class Phase { Start, Retries, Notice, ListChange, Reload, Crash, Restart, Shutdown, Count };
 
-/// `entering` is called before each phase. What went wrong, empty where all rules held; a run that cannot go
-/// on says where.
+/// Calls `on_phase` before each phase. Returns the violations; empty if all rules held. A run that cannot
+/// continue adds the step that failed and the log of the program.
 inline std::vector<std::string> run_scenario(
-    FaultWorld& world, const std::function<void(Phase)>& entering = [](Phase) {}) {
-    constexpr auto time_enough = 15'000ms;
-    constexpr auto slack = 2'000ms;  // beyond the protocol's, for a busy machine
-    std::vector<std::string> found;
+    FaultWorld& world, const std::function<void(Phase)>& on_phase = [](Phase) {}) {
+    constexpr auto ample_time = 15'000ms;
+    constexpr auto slack = 2'000ms;  // on top of the protocol's limits, for a busy machine
+    std::vector<std::string> violations;
     const auto failed = [&](const std::string& what) {
-        found = world.checker.breaches(slack);
-        found.push_back(what + "\n" + world.node.log());
-        return found;
+        violations = world.checker.breaches(slack);
+        violations.push_back(what + "\n" + world.node.log());
+        return violations;
     };
 
-    entering(Phase::Start);
-    if (!world.start()) return failed("the first process is not ready");
+    on_phase(Phase::Start);
+    if (!world.start()) return failed("the first process does not become ready");
 
-    entering(Phase::Repeats);
-    const auto plan = [&](std::deque<PlannedEndpoint::Answer> answers) {
-        return [&world, answers](const std::string& id) { world.first.plan(id, answers); };
+    on_phase(Phase::Retries);
+    const auto plan = [&](std::deque<PlannedEndpoint::Response> responses) {
+        return [&world, responses](const std::string& id) { world.first.plan(id, responses); };
     };
-    if (world.hand_in("keyed", time_enough, 7, plan({{200}})).empty() ||
-        world.hand_in("safe", time_enough, 7, plan({{500}, {200}})).empty() ||
-        world.hand_in("unsafe", time_enough, 7, plan({{429, 150ms}, {200}})).empty())
-        return failed("a message is not taken on");
-    if (!world.wait_for([&] { return world.checker.all_ended(); })) return failed("repeats do not end");
+    if (world.enqueue_message("keyed", ample_time, 7, plan({{200}})).empty() ||
+        world.enqueue_message("safe", ample_time, 7, plan({{500}, {200}})).empty() ||
+        world.enqueue_message("unsafe", ample_time, 7, plan({{429, 150ms}, {200}})).empty())
+        return failed("a message is not accepted");
+    if (!world.wait_for([&] { return world.checker.all_ended(); }))
+        return failed("retried messages do not end");
 
-    entering(Phase::Notice);
-    if (world.hand_in("safe", 100ms, 99).empty()) return failed("a message is not taken on");
-    if (!world.wait_for([&] { return world.checker.all_ended(); })) return failed("no notice");
+    on_phase(Phase::Notice);
+    if (world.enqueue_message("safe", 100ms, 99).empty()) return failed("a message is not accepted");
+    if (!world.wait_for([&] { return world.checker.all_ended(); }))
+        return failed("no notice for an expired message");
 
-    entering(Phase::ListChange);
-    world.agent.tell(
+    on_phase(Phase::ListChange);
+    world.agent.publish(
         list(2, true, {member("s-1", world.first.address(), 7), member("s-2", world.second.address(), 8)}));
-    if (world.hand_in("safe", time_enough, 8).empty()) return failed("a new destination stays unknown");
-    if (!world.wait_for([&] { return world.checker.all_ended(); })) return failed("no call to the new one");
+    if (world.enqueue_message("safe", ample_time, 8).empty())
+        return failed("no message is accepted for the new destination");
+    if (!world.wait_for([&] { return world.checker.all_ended(); }))
+        return failed("no call to the new endpoint");
 
-    entering(Phase::Reload);
+    on_phase(Phase::Reload);
     world.node.reload(world.node.config().dump());
-    const auto revivals = world.revivals();  // a new process reads the file at its start
-    const auto read_anew = [&] {
-        return world.revivals() > revivals ||
+    const auto restarts = world.restarts();  // a new process reads the file when it starts
+    const auto reloaded = [&] {
+        return world.restarts() > restarts ||
                world.node.log().find("configuration read anew") != std::string::npos;
     };
-    if (!world.wait_for(read_anew)) return failed("no reload");
+    if (!world.wait_for(reloaded)) return failed("the configuration is not reloaded");
 
-    entering(Phase::Crash);
+    on_phase(Phase::Crash);
     world.second.hold();
-    if (world.hand_in("unsafe", time_enough, 8).empty()) return failed("a message is not taken on");
+    if (world.enqueue_message("unsafe", ample_time, 8).empty()) return failed("a message is not accepted");
     const auto called_or_ended = [&] { return world.second.holds(1) || world.checker.all_ended(); };
-    if (!world.wait_for(called_or_ended)) return failed("no call");
-    if (world.hand_in("safe", time_enough, 8).empty()) return failed("a message is not taken on");
+    if (!world.wait_for(called_or_ended)) return failed("no call to the held endpoint");
+    if (world.enqueue_message("safe", ample_time, 8).empty()) return failed("a message is not accepted");
     world.kill();
     world.second.drop_held();
 
-    entering(Phase::Restart);
-    if (!world.start()) return failed("the second process is not ready");
+    on_phase(Phase::Restart);
+    if (!world.start()) return failed("the second process does not become ready");
     if (!world.wait_for([&] { return world.checker.all_ended(); }))
-        return failed("what is owed does not end");
+        return failed("accepted messages do not end after the restart");
 
-    entering(Phase::Shutdown);
+    on_phase(Phase::Shutdown);
     int status = world.terminate();
-    if (world.revive()) {
+    if (world.restart_if_killed()) {
         if (!world.wait_for([&] { return world.pings() && world.checker.all_ended(); }))
-            return failed("what is owed does not end");
+            return failed("accepted messages do not end after the restart");
         status = world.terminate();
     }
-    if (status != 0) return failed("its end was not in order: " + std::to_string(status));
+    if (status != 0) return failed("the shutdown was not orderly: " + std::to_string(status));
     return world.checker.breaches(slack);
 }
 
--- a/tests/fault/fault_soak.cpp
+++ b/tests/fault/fault_soak.cpp
@@ -1,7 +1,7 @@
-// A soak with faults of all kinds together, drawn from a seed: system calls, the wall clock, connections,
-// signals.
+// Soak test that combines faults of all kinds, chosen at random from a seed: failing system calls, steps of
+// the wall clock, broken connections and signals.
 //   fault_soak --runs N --seed S
-// Prints a line for each run and the breaches of its rules; the exit code is 1 where there were any.
+// Prints one line for each run, followed by its rule violations. The exit code is 1 if there were any.
 #include <sys/resource.h>
 
 #include <cstring>
@@ -18,18 +18,18 @@
 using fault::Call;
 
 constexpr int kClients = 4;
-constexpr int kSignals = 3;            // in one run
-constexpr int kRequestsOfClient = 60;  // at most, in one run
-constexpr std::size_t kCrowd = 60;     // idle connections, in some runs
+constexpr int kSignalsPerRun = 3;
+constexpr int kMaxRequestsPerClient = 60;      // per run
+constexpr std::size_t kCrowdConnections = 60;  // in the runs with a crowd
 
-/// What one run is made of.
+/// The faults and conditions of one run.
 struct Plan {
     std::uint64_t seed = 0;
-    std::uint32_t rate_per_million = 0;  // of failing calls
+    std::uint32_t rate_per_million = 0;  // rate of failing system calls
     bool proxy = false, crowd = false, clock = false, files = false;
 };
 
-Plan plan_of(std::uint64_t seed) {
+Plan plan_for_seed(std::uint64_t seed) {
     std::mt19937_64 random(seed);
     Plan plan;
     plan.seed = seed;
@@ -48,23 +48,23 @@
         control.random_per_million[static_cast<std::size_t>(call)] = plan.files ? rate : 0;
 }
 
-/// A client that keeps its connection as long as it stays open.
+/// A client that reuses its connection for as long as it stays open.
 class SoakClient {
 public:
     SoakClient(FaultWorld& world, int number, std::uint64_t seed)
         : world_(world), number_(number), random_(seed) {}
 
     void run(const std::atomic<bool>& stopping) {
-        for (int request = 0; request < kRequestsOfClient && !stopping; ++request) {
-            hand_in(request);
+        for (int request = 0; request < kMaxRequestsPerClient && !stopping; ++request) {
+            enqueue_message(request);
             std::this_thread::sleep_for(std::chrono::milliseconds(random_() % 60));
         }
     }
 
 private:
-    void hand_in(int request) try {
+    void enqueue_message(int request) try {
         if (!client_) {
-            connected_ = Clock::now();
+            connected_at_ = Clock::now();
             client_.emplace(world_.node.address());
         }
         static constexpr const char* kinds[] = {"safe", "keyed", "unsafe"};
@@ -73,43 +73,44 @@
         std::ostringstream id;
         id << std::hex
            << ((static_cast<std::uint64_t>(number_ + 1) << 32) + static_cast<unsigned>(request) + 1);
-        std::string padded = id.str();
-        padded.insert(0, 16 - padded.size(), '0');
-        if (random_() % 5 == 0) world_.first.plan(padded, {{500, 0ms}});
-        if (random_() % 10 == 0) world_.first.plan(padded, {{429, 200ms}});
+        std::string message_id = id.str();
+        message_id.insert(0, 16 - message_id.size(), '0');
+        if (random_() % 5 == 0) world_.first.plan(message_id, {{500, 0ms}});
+        if (random_() % 10 == 0) world_.first.plan(message_id, {{429, 200ms}});
         MessageEvent event;
         event.left = left;
         event.repeatable = kind != "unsafe";
-        event.connected = connected_;
+        event.connected = connected_at_;
         event.detail = kind;
-        world_.checker.record(padded, event);
-        const std::string words =
+        world_.checker.record(message_id, event);
+        const std::string fields =
             "c=" + kind + ",t=acme,d=" + std::to_string(left.count()) + ",k=5c0f6e1a2b3d4c59,dest=7";
-        const std::string answer = client_->ask({"ENQUEUE", "0000000000000000", padded, words, "BODY"});
+        const std::string reply = client_->ask({"ENQUEUE", "0000000000000000", message_id, fields, "BODY"});
         MessageEvent end;
-        end.kind = answer == "+OK"  ? MessageEvent::Kind::Accepted
-                   : answer.empty() ? MessageEvent::Kind::NoAnswer
-                                    : MessageEvent::Kind::Refused;
-        end.detail = answer;
-        world_.checker.record(padded, end);
-        if (answer.empty()) client_.reset();
+        end.kind = reply == "+OK"  ? MessageEvent::Kind::Accepted
+                   : reply.empty() ? MessageEvent::Kind::NoAnswer
+                                   : MessageEvent::Kind::Refused;
+        end.detail = reply;
+        world_.checker.record(message_id, end);
+        if (reply.empty()) client_.reset();
     } catch (const boost::system::system_error&) {
-        client_.reset();  // it could not be handed in
+        client_.reset();  // connecting failed, or the connection broke
     }
 
     FaultWorld& world_;
     int number_;
     std::mt19937_64 random_;
     std::optional<Client> client_;
-    Clock::time_point connected_{};
+    Clock::time_point connected_at_{};
 };
 
-/// SIGHUP, SIGTERM with SIGKILL as early as the protocol allows, and SIGKILL alone, in an order by chance.
+/// Sends signals in random order: SIGHUP, SIGTERM followed by SIGKILL as early as the protocol allows, and
+/// SIGKILL alone.
 class Signals {
 public:
     Signals(FaultWorld& world, std::uint64_t seed) : world_(world), random_(seed) {}
 
-    /// What went wrong, or nothing.
+    /// Returns a description of the failure, or an empty text.
     std::string send_one() {
         std::this_thread::sleep_for(std::chrono::milliseconds(200 + random_() % 700));
         switch (random_() % 3) {
@@ -117,7 +118,7 @@
                 world_.node.reload(world_.node.config().dump());
                 return "";
             case 1:
-                return end_in_order();
+                return shut_down();
             default:
                 world_.kill();
                 return start();
@@ -125,7 +126,7 @@
     }
 
 private:
-    std::string end_in_order() {
+    std::string shut_down() {
         world_.checker.record_drain();
         world_.node.terminate();
         int status = 0;
@@ -137,7 +138,7 @@
         }
         world_.node.forget_ended();
         world_.checker.record_restart();
-        if (status != 0) return "its end after SIGTERM was not in order: " + std::to_string(status);
+        if (status != 0) return "the shutdown after SIGTERM was not orderly: " + std::to_string(status);
         return start();
     }
     std::string start() {
@@ -150,7 +151,7 @@
     std::mt19937_64 random_;
 };
 
-/// Steps the wall clock until it is told to stop.
+/// Steps the wall clock repeatedly until `stopping` is set.
 void step_clock(FaultWorld& world, const std::atomic<bool>& stopping) {
     constexpr std::chrono::seconds steps[] = {5s, -5s, 3600s, 0s, -3600s};
     for (std::size_t at = 0; !stopping; ++at) {
@@ -162,9 +163,9 @@
 std::vector<std::string> run_once(const Plan& plan) {
     constexpr auto slack = 2'000ms;
     std::unique_ptr<FaultProxy> proxy;
-    FaultWorld world([&](const std::string& own) {
-        if (plan.proxy) proxy = std::make_unique<FaultProxy>(own, plan.seed);
-        return plan.proxy ? proxy->address() : own;
+    FaultWorld world([&](const std::string& address) {
+        if (plan.proxy) proxy = std::make_unique<FaultProxy>(address, plan.seed);
+        return plan.proxy ? proxy->address() : address;
     });
     if (plan.proxy) {
         world.checker.allow_lost_answers();
@@ -175,41 +176,44 @@
     if (!world.start()) return {"not ready\n" + world.node.log()};
 
     std::list<Client> crowd;
-    for (std::size_t i = 0; plan.crowd && i < kCrowd; ++i) crowd.emplace_back(world.node.address());
+    for (std::size_t i = 0; plan.crowd && i < kCrowdConnections; ++i)
+        crowd.emplace_back(world.node.address());
     std::atomic<bool> stopping = false;
     std::vector<std::thread> threads;
     for (int i = 0; i < kClients; ++i)
         threads.emplace_back([&, i] { SoakClient(world, i, plan.seed * 31 + i).run(stopping); });
     if (plan.clock) threads.emplace_back([&] { step_clock(world, stopping); });
 
-    std::vector<std::string> found;
+    std::vector<std::string> violations;
     Signals signals(world, plan.seed);
-    for (int i = 0; i < kSignals && found.empty(); ++i)
-        if (const std::string wrong = signals.send_one(); !wrong.empty()) found.push_back(wrong);
-    if (found.empty()) FaultWorld::wait_until([&] { return world.checker.accepted_count() > 120; }, 3s);
+    for (int i = 0; i < kSignalsPerRun && violations.empty(); ++i)
+        if (const std::string failure = signals.send_one(); !failure.empty()) violations.push_back(failure);
+    if (violations.empty()) FaultWorld::wait_until([&] { return world.checker.accepted_count() > 120; }, 3s);
     stopping = true;
     for (std::thread& thread : threads) thread.join();
     set_rates(*world.faults, plan, 0);
-    if (found.empty()) FaultWorld::wait_until([&] { return world.checker.all_ended(); }, 9s);
-    for (const std::string& breach : world.checker.breaches(slack)) found.push_back(breach);
-    if (!found.empty()) found.push_back(world.node.log());
-    return found;
+    if (violations.empty()) FaultWorld::wait_until([&] { return world.checker.all_ended(); }, 9s);
+    for (const std::string& violation : world.checker.breaches(slack)) violations.push_back(violation);
+    if (!violations.empty()) violations.push_back(world.node.log());
+    return violations;
 }
 
 int soak(int runs, std::uint64_t first_seed) {
-    int broken = 0;
+    int failed_runs = 0;
     for (int run = 0; run < runs; ++run) {
-        const Plan plan = plan_of(first_seed + static_cast<std::uint64_t>(run));
-        const auto found = run_once(plan);
+        const Plan plan = plan_for_seed(first_seed + static_cast<std::uint64_t>(run));
+        const auto violations = run_once(plan);
         std::cout << "seed " << plan.seed << " rate " << plan.rate_per_million << (plan.proxy ? " proxy" : "")
                   << (plan.crowd ? " crowd" : "") << (plan.clock ? " clock" : "")
-                  << (plan.files ? " files" : "") << ": " << (found.empty() ? "ok" : "BROKEN") << std::endl;
-        for (const std::string& breach : found) std::cout << "  " << breach << '\n';
-        if (!found.empty()) std::cout << "  again: fault_soak --runs 1 --seed " << plan.seed << std::endl;
-        broken += found.empty() ? 0 : 1;
+                  << (plan.files ? " files" : "") << ": " << (violations.empty() ? "ok" : "BROKEN")
+                  << std::endl;
+        for (const std::string& violation : violations) std::cout << "  " << violation << '\n';
+        if (!violations.empty())
+            std::cout << "  again: fault_soak --runs 1 --seed " << plan.seed << std::endl;
+        failed_runs += violations.empty() ? 0 : 1;
     }
-    std::cout << runs - broken << " passed, " << broken << " failed" << std::endl;
-    return broken == 0 ? 0 : 1;
+    std::cout << runs - failed_runs << " passed, " << failed_runs << " failed" << std::endl;
+    return failed_runs == 0 ? 0 : 1;
 }
 
 }  // namespace
--- a/tests/fault/fault_sweep_test.cpp
+++ b/tests/fault/fault_sweep_test.cpp
@@ -1,5 +1,6 @@
-// Every system call of a whole run fails once, in turn, with each error that its manual page lists and that
-// can pass by itself; and the wall clock is stepped before each phase. All rules must hold.
+// Each system call of a whole run fails once, in separate runs, with each transient error that its manual
+// page lists. Other runs kill the process at a system call or step the wall clock before a phase. All rules
+// must hold in every run.
 #include "fault_sweep.hpp"
 
 #include "fault_scenario.hpp"
@@ -62,24 +63,27 @@
     {"LockInterrupted", Call::Lock, EINTR},
     {"LockNoLocks", Call::Lock, ENOLCK},
 };
-RunResult run_with_failing_call(const SweepCase& one, int number) {
+
+RunResult run_with_failing_call(const SweepCase& sweep_case, int number) {
     FaultWorld world;
-    if (one.breaks_connections) world.checker.allow_broken_clients();
-    const bool kills = one.error == fault::kKilled || one.error == fault::kTornAndKilled;
+    if (sweep_case.breaks_connections) world.checker.allow_broken_clients();
+    const bool kills = sweep_case.error == fault::kKilled || sweep_case.error == fault::kTornAndKilled;
     if (kills) world.expect_kills();
-    world.faults.arm(0, {one.call, one.error, number - 1, 1, fault::Peer::Any, one.detail});
+    world.faults.arm(
+        0, {sweep_case.call, sweep_case.error, number - 1, 1, fault::Peer::Any, sweep_case.detail});
     RunResult result;
-    result.breaches = run_scenario(world);
+    result.violations = run_scenario(world);
     result.reached = world.faults.hits(0) > 0;
     return result;
 }
 
 class FaultSweep : public ::testing::TestWithParam<SweepCase> {};
 
-// Guards against a momentary failure of one system call that breaks a rule, wherever it strikes.
-TEST_P(FaultSweep, NoRuleBreaksWhicheverCallFails) { sweep(GetParam(), run_with_failing_call); }
+// Guards against a transient failure of a single system call that makes the program break a rule, at any
+// point of the run.
+TEST_P(FaultSweep, AllRulesHoldWhicheverCallFails) { sweep(GetParam(), run_with_failing_call); }
 
-// The process is killed before a call of each kind, and started anew.
+// The process is killed before a system call of each kind and restarted.
 const SweepCase kKills[] = {
     {"Accept", Call::Accept, fault::kKilled},
     {"Connect", Call::Connect, fault::kKilled},
@@ -98,7 +102,8 @@
     {"Lock", Call::Lock, fault::kKilled},
 };
 
-// A record is left half written by a kill: after its length, its checksum, its kind and some of its content.
+// The process is killed while it writes a journal record, which leaves a partial record: within and after its
+// length, after its checksum, after its type, within its content, and after the whole record.
 const SweepCase kTornWrites[] = {
     {"After1Byte", Call::Write, fault::kTornAndKilled, false, 1},
     {"After4Bytes", Call::Write, fault::kTornAndKilled, false, 4},
@@ -120,19 +125,20 @@
     const char* name;
     std::chrono::seconds step;
 };
-void PrintTo(const ClockCase& one, std::ostream* out) { *out << one.name; }
+void PrintTo(const ClockCase& clock_case, std::ostream* out) { *out << clock_case.name; }
 
 class ClockStep : public ::testing::TestWithParam<ClockCase> {};
 
-// Guards against deadlines, windows and waits that move when somebody sets the machine's clock.
-TEST_P(ClockStep, MovesNothingInAnyPhase) {
+// Guards against deadlines, time windows and delays that shift when the wall clock of the machine is set.
+TEST_P(ClockStep, ChangesNothingInAnyPhase) {
     for (int phase = 0; phase < static_cast<int>(Phase::Count); ++phase) {
         FaultWorld world;
-        const auto found = run_scenario(world, [&](Phase entered) {
+        const auto violations = run_scenario(world, [&](Phase entered) {
             if (static_cast<int>(entered) != phase) return;
             world.faults->wall_clock_offset_us = std::chrono::microseconds(GetParam().step).count();
         });
-        for (const std::string& breach : found) ADD_FAILURE() << "phase " << phase << ": " << breach;
+        for (const std::string& violation : violations)
+            ADD_FAILURE() << "phase " << phase << ": " << violation;
     }
 }
 
--- a/tests/fault/fault_world.hpp
+++ b/tests/fault/fault_world.hpp
@@ -1,5 +1,5 @@
-/// One real process with the fault shim, its clients, endpoints and discovery; all that they see goes to a
-/// RuleChecker.
+/// A real process that runs with the fault shim, and its clients, endpoints and discovery agent. Everything
+/// that they observe is recorded in a RuleChecker.
 #pragma once
 
 #include <sstream>
@@ -9,7 +9,7 @@
 
 namespace lockgw {
 
-/// Answers each request of an HttpStub in a thread of its own.
+/// Responds to the requests that an HttpStub receives, in a separate thread.
 class Responder {
 public:
     Responder(HttpStub& stub, std::function<void(const Exchange&)> respond)
@@ -26,7 +26,7 @@
             try {
                 exchange = stub_.next(10ms);
             } catch (const std::runtime_error&) {
-                continue;  // none came
+                continue;  // no request within the timeout
             }
             respond_(*exchange);
         }
@@ -38,10 +38,10 @@
     std::thread thread_;
 };
 
-/// An endpoint that answers each message as a plan for its id says, and 200 behind the plan's end.
+/// An endpoint that sends the responses planned for each message id, and 200 when the plan is used up.
 class PlannedEndpoint {
 public:
-    struct Answer {
+    struct Response {
         int status = 200;
         std::chrono::milliseconds retry_after{0};
     };
@@ -52,18 +52,18 @@
           responder_(stub_, [this](const Exchange& call) { respond(call); }) {}
 
     std::string address() const { return stub_.address(); }
-    void plan(const std::string& id, std::deque<Answer> answers) {
+    void plan(const std::string& id, std::deque<Response> responses) {
         const std::lock_guard lock(mutex_);
-        plans_[id] = std::move(answers);
+        plans_[id] = std::move(responses);
     }
-    /// Calls are read and not answered until `release`.
+    /// Calls are read, but get no response until `drop_held`.
     void hold() { holding_ = true; }
-    /// Held calls end with their connections, and others are answered from now on.
+    /// Closes the connections of the held calls. Later calls get responses.
     void drop_held() {
         holding_ = false;
         end_held();
     }
-    /// Held calls end with their connections.
+    /// Closes the connections of the held calls. Later calls are still held.
     void end_held() {
         const std::lock_guard lock(mutex_);
         for (const Exchange& call : held_) {
@@ -82,19 +82,20 @@
         record(call, MessageEvent::Kind::CallBegun, 0, {});
         const std::lock_guard lock(mutex_);
         if (holding_) return held_.push_back(call);
-        const Answer answer = next_answer(call.header("X-Call-Id"));
-        record(call, MessageEvent::Kind::CallEnded, answer.status, answer.retry_after);
+        const Response response = next_response(call.header("X-Call-Id"));
+        record(call, MessageEvent::Kind::CallEnded, response.status, response.retry_after);
         std::ostringstream headers;
-        if (answer.retry_after > 0ms)
-            headers << "Retry-After: " << std::chrono::duration<double>(answer.retry_after).count() << "\r\n";
-        call.answer(answer.status, headers.str());
+        if (response.retry_after > 0ms)
+            headers << "Retry-After: " << std::chrono::duration<double>(response.retry_after).count()
+                    << "\r\n";
+        call.answer(response.status, headers.str());
     }
-    Answer next_answer(const std::string& id) {
+    Response next_response(const std::string& id) {
         auto& plan = plans_[id];
         if (plan.empty()) return {};
-        const Answer answer = plan.front();
+        const Response response = plan.front();
         plan.pop_front();
-        return answer;
+        return response;
     }
     void record(
         const Exchange& call, MessageEvent::Kind kind, int status, std::chrono::milliseconds retry_after) {
@@ -110,20 +111,21 @@
     const std::string name_;
     HttpStub stub_;
     mutable std::mutex mutex_;
-    std::map<std::string, std::deque<Answer>> plans_;
+    std::map<std::string, std::deque<Response>> plans_;
     std::deque<Exchange> held_;
     std::atomic<bool> holding_ = false;
     Responder responder_;
 };
 
-/// Discovery's agent: takes every notice, answers calls for the list, and holds watches until `tell`.
+/// The discovery agent: accepts every notice, responds to requests for the list, and holds a watch until
+/// `publish` is called.
 class Agent {
 public:
     explicit Agent(RuleChecker& checker)
         : checker_(checker), responder_(stub_, [this](const Exchange& call) { respond(call); }) {}
 
     std::string address() const { return stub_.address(); }
-    void tell(const Json& list) {
+    void publish(const Json& list) {
         const std::lock_guard lock(mutex_);
         list_ = list;
         if (watch_) write_list(*watch_);
@@ -132,17 +134,17 @@
 
 private:
     void respond(const Exchange& call) {
-        const auto target_text = call.request.target();
-        const std::string target(target_text.data(), target_text.size());
-        if (target == "/reports") return take_notices(call);
+        const auto path_text = call.request.target();
+        const std::string path(path_text.data(), path_text.size());
+        if (path == "/reports") return take_notices(call);
         const std::lock_guard lock(mutex_);
         const int revision = list_.value("revision", 0);
-        const bool newer = target.find("from=") == std::string::npos ||
-                           target.find("from=" + std::to_string(revision) + "&") == std::string::npos;
+        const bool newer = path.find("from=") == std::string::npos ||
+                           path.find("from=" + std::to_string(revision) + "&") == std::string::npos;
         if (newer && revision > 0)
             write_list(call);
         else
-            watch_ = call;  // held; the program gives it up
+            watch_ = call;  // held until the list changes or the program closes the connection
     }
     void take_notices(const Exchange& call) {
         std::istringstream stream(call.request.body());
@@ -167,12 +169,14 @@
     Responder responder_;
 };
 
-/// What a run needs, on addresses of its own, so that several can run side by side.
+/// The process under test and its peers for one run. Each instance has its own addresses, so several runs can
+/// take place in parallel.
 class FaultWorld {
 public:
-    /// `endpoint_address`: where the program reaches s-1, if not at itself.
+    /// `endpoint_address` maps the address of s-1 to the one that the program connects to, for example that
+    /// of a proxy.
     explicit FaultWorld(const std::function<std::string(const std::string&)>& endpoint_address =
-                            [](const auto& own) { return own; })
+                            [](const auto& address) { return address; })
         : agent(checker),
           first(checker, "s-1"),
           second(checker, "s-2"),
@@ -184,31 +188,31 @@
     }
     ~FaultWorld() { stop(); }
 
-    /// Waits until PING is answered; false where the program has ended or takes too long.
+    /// Starts the program and waits for a reply to PING. Returns false if there is none before the timeout.
     bool start() {
         node.start();
         return wait_for([this] { return pings(); });
     }
-    /// The fault of rule 0 kills the program: from now on that is followed by a start.
+    /// Fault rule 0 kills the program. From now on the program is restarted after each such kill.
     void expect_kills() { expects_kills_ = true; }
-    /// Whether the program had been killed and is started anew. The restart is on record before anything
-    /// that its clients see of it.
-    bool revive() {
-        if (kills() == revivals_) return false;
-        revivals_ = kills();
+    /// Restarts the program if fault rule 0 killed it, and returns whether it did. The restart is recorded
+    /// before anything that the clients observe of the new process.
+    bool restart_if_killed() {
+        if (kills() == restarts_) return false;
+        restarts_ = kills();
         if (node.pid() > 0) node.wait();
         checker.record_restart();
-        std::this_thread::sleep_for(kReadByThen);
+        std::this_thread::sleep_for(kEndpointReadTime);
         second.end_held();
         node.start();
         return true;
     }
-    std::int64_t revivals() const { return revivals_; }
+    std::int64_t restarts() const { return restarts_; }
     void kill() {
         checker.record_restart();
         node.kill();
         node.wait();
-        revivals_ = kills();  // whichever of the two came first
+        restarts_ = kills();  // rule 0 may have killed the program first
         checker.record_restart();
     }
     void stop() {
@@ -216,7 +220,7 @@
         node.kill();
         node.wait();
     }
-    /// The program's exit after SIGTERM: 0 where it ended by itself in order.
+    /// Sends SIGTERM and returns the exit status of the program: 0 for an orderly exit.
     int terminate() {
         checker.record_drain();
         node.terminate();
@@ -225,27 +229,29 @@
         return status;
     }
 
-    /// Hands a message in on a new connection, and once more under another id each time it is refused or
-    /// could not be read. The id that was accepted; empty where none was.
-    std::string hand_in(const std::string& kind, std::chrono::milliseconds left, int destination = 7,
+    /// Enqueues a message on a new connection, and again with a new id each time it is refused, cannot be
+    /// sent or gets no reply. Returns the id that was accepted, or an empty text if none was before the
+    /// timeout.
+    std::string enqueue_message(const std::string& kind, std::chrono::milliseconds left, int destination = 7,
         const std::function<void(const std::string&)>& before = nullptr) {
         const auto until = std::chrono::steady_clock::now() + kDeadline;
         while (std::chrono::steady_clock::now() < until) {
-            revive();
+            restart_if_killed();
             const std::string id = next_id();
             if (before) before(id);
-            if (hand_in_once(id, kind, left, destination)) return id;
+            if (enqueue_once(id, kind, left, destination)) return id;
             std::this_thread::sleep_for(20ms);
         }
         return "";
     }
 
-    /// As wait_until, and revives the program meanwhile; it takes clients again then.
+    /// Like wait_until, but restarts the program if rule 0 killed it. After a restart the condition is
+    /// checked again only once the program replies to clients.
     template <class Condition>
     bool wait_for(Condition condition) {
         bool starting = false;
         return wait_until([&] {
-            starting = revive() || (starting && !pings());
+            starting = restart_if_killed() || (starting && !pings());
             return !starting && condition();
         });
     }
@@ -279,38 +285,38 @@
         text << std::hex << (0x9b1f000000000000u + ++ids_);
         return text.str();
     }
-    bool hand_in_once(
+    bool enqueue_once(
         const std::string& id, const std::string& kind, std::chrono::milliseconds left, int destination) try {
         Client client(node.address());
-        MessageEvent handed_in;
-        handed_in.kind = MessageEvent::Kind::HandedIn;
-        handed_in.left = left;
-        handed_in.repeatable = kind != "unsafe";
-        handed_in.detail = kind;
-        checker.record(id, handed_in);
-        const std::string words = "c=" + kind + ",t=acme,d=" + std::to_string(left.count()) +
-                                  ",k=5c0f6e1a2b3d4c59,dest=" + std::to_string(destination);
-        const std::string answer = client.ask({"ENQUEUE", "0000000000000000", id, words, "BODY"});
-        if (answer.empty()) revive();
+        MessageEvent enqueued;
+        enqueued.kind = MessageEvent::Kind::HandedIn;
+        enqueued.left = left;
+        enqueued.repeatable = kind != "unsafe";
+        enqueued.detail = kind;
+        checker.record(id, enqueued);
+        const std::string fields = "c=" + kind + ",t=acme,d=" + std::to_string(left.count()) +
+                                   ",k=5c0f6e1a2b3d4c59,dest=" + std::to_string(destination);
+        const std::string reply = client.ask({"ENQUEUE", "0000000000000000", id, fields, "BODY"});
+        if (reply.empty()) restart_if_killed();
         MessageEvent event;
-        event.kind = answer == "+OK"  ? MessageEvent::Kind::Accepted
-                     : answer.empty() ? MessageEvent::Kind::NoAnswer
-                                      : MessageEvent::Kind::Refused;
-        event.detail = answer;
+        event.kind = reply == "+OK"  ? MessageEvent::Kind::Accepted
+                     : reply.empty() ? MessageEvent::Kind::NoAnswer
+                                     : MessageEvent::Kind::Refused;
+        event.detail = reply;
         checker.record(id, event);
-        return answer == "+OK";
+        return reply == "+OK";
     } catch (const boost::system::system_error&) {
-        return false;  // no connection: nothing was handed in, or its connection broke
+        return false;  // connecting failed, or the connection broke
     }
 
     std::int64_t kills() const { return expects_kills_ ? faults.hits(0) : 0; }
 
-    /// What a process had sent before it was killed has been read by its endpoint so much later.
-    static constexpr std::chrono::milliseconds kReadByThen{20};
+    /// Time that the endpoints get to read what a process sent before it was killed.
+    static constexpr std::chrono::milliseconds kEndpointReadTime{20};
 
     std::uint64_t ids_ = 0;
     bool expects_kills_ = false;
-    std::int64_t revivals_ = 0;
+    std::int64_t restarts_ = 0;
 };
 
 }  // namespace lockgw
