--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -9,13 +9,13 @@
     settings.max_held_messages = 100;
     settings.max_attempts = 3;
     settings.kinds.resize(1);
-    ClassSettings notice;
-    notice.target_latency = std::chrono::seconds(2);
-    notice.deadline = std::chrono::seconds(10);
-    settings.classes.push_back(notice);
+    ClassSettings class_settings;
+    class_settings.target_latency = std::chrono::seconds(2);
+    class_settings.deadline = std::chrono::seconds(10);
+    settings.classes.push_back(class_settings);
 
-    Sender sender(settings, 7);            // the seed: same seed, same events, same actions
-    Time now = std::chrono::seconds(100);  // the caller's clock; it only advances
+    Sender sender(settings, 7);            // a seed: equal seeds and events give equal actions
+    Time now = std::chrono::seconds(100);  // the caller's clock, which never goes back
 
     ListEvent list;
     list.entries.push_back({.endpoint = 0, .destination = 57});
@@ -23,7 +23,7 @@
     sender.observe(MessageEvent{.message = 1, .destination = 57, .time_left = std::chrono::seconds(10)}, now);
 
     bool sent = false;
-    for (const Action& action : sender.decide(now))  // carry these out in order
+    for (const Action& action : sender.decide(now))  // the caller carries actions out in order
         if (const auto* send = std::get_if<Send>(&action)) sent = send->message == 1 && send->endpoint == 0;
     if (!sent) return 1;
 
--- a/tests/false_claim.hpp
+++ b/tests/false_claim.hpp
@@ -1,4 +1,4 @@
-/// The other side of a handover, played by a test.
+/// A stub of the process that takes over in a handover.
 #pragma once
 
 #include <boost/asio/local/stream_protocol.hpp>
@@ -8,7 +8,8 @@
 
 namespace lockgw {
 
-/// A process that claims, and then leaves or goes silent at some step.
+/// Connects to the handover socket as a new process does. A test sends a claim and can then close the
+/// connection or stop responding at any step.
 class FalseClaim {
 public:
     explicit FalseClaim(const std::filesystem::path& state) : socket_(io_) {
--- a/tests/net_helpers.hpp
+++ b/tests/net_helpers.hpp
@@ -1,6 +1,7 @@
-/// What the tests of the forwarder share: a configuration, a folder, stub sockets and the built program.
+/// Helpers that the forwarder tests share: a configuration, a temporary folder, stub servers, a client and
+/// the built program as a child process.
 ///
-/// Every wait is for an event, with a deadline far beyond what a loaded machine needs.
+/// Every wait is for an event and has a timeout far above what a loaded machine needs.
 #pragma once
 
 #include <fcntl.h>
@@ -62,27 +63,27 @@
 };
 
 inline Json make_config(const std::string& listen, const std::string& discovery) {
-    const auto kind = [](const char* name, const char* effect) {
+    const auto class_config = [](const char* name, const char* effect) {
         return Json{{"name", name}, {"effect", effect}, {"aim_ms", 4000}, {"hard_limit_ms", 60000},
             {"window_ms", 4000}, {"worth", 1}};
     };
     return Json{{"name", "n0"}, {"listen", listen}, {"discovery", discovery}, {"seed", "8c1f30d27a5be964"},
         {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 256}, {"disk_mb", 3}}},
-        {"settings",
-            {{"classes", {kind("safe", "retryable"), kind("keyed", "dedup"), kind("unsafe", "fragile")}},
-                {"tenants", {{{"name", "acme"}}}}, {"kinds", {"shop"}}, {"localities", {"a"}},
-                {"family_info", {{"slots", 8}}}, {"n_instances", 1},
-                {"limits", {{"most_held", 40}, {"max_attempts", 12}, {"cancel", true},
-                               {"conn_idle_ms", 10000}, {"connect_timeout_ms", 1000}}},
-                {"contract", {{"fall_ms", 2000}, {"warm_within_ms", 11000}, {"fall_multiple", 2.5},
-                                 {"cold_from", 0.16}}},
-                {"report", {{"source", "inline"}, {"columns", {"x0", "x1"}}}}}}};
+        {"settings", {{"classes", {class_config("safe", "retryable"), class_config("keyed", "dedup"),
+                                      class_config("unsafe", "fragile")}},
+                         {"tenants", {{{"name", "acme"}}}}, {"kinds", {"shop"}}, {"localities", {"a"}},
+                         {"family_info", {{"slots", 8}}}, {"n_instances", 1},
+                         {"limits", {{"most_held", 40}, {"max_attempts", 12}, {"cancel", true},
+                                        {"conn_idle_ms", 10000}, {"connect_timeout_ms", 1000}}},
+                         {"contract", {{"fall_ms", 2000}, {"warm_within_ms", 11000}, {"fall_multiple", 2.5},
+                                          {"cold_from", 0.16}}},
+                         {"report", {{"source", "inline"}, {"columns", {"x0", "x1"}}}}}}};
 }
 
-/// One request that came to a stub, until it is answered or its connection ended.
+/// One request that a stub received and that the test has not yet responded to.
 struct Exchange {
     http::request<http::string_body> request;
-    std::function<void(const std::string&)> write;  ///< raw bytes of an answer
+    std::function<void(const std::string&)> write;  ///< sends raw bytes of a response
     std::function<void()> hang_up;
 
     std::string header(const char* name) const {
@@ -94,7 +95,7 @@
     }
 };
 
-/// An HTTP server on 127.0.0.1 that keeps connections open; each request waits for the test.
+/// An HTTP server on 127.0.0.1 that keeps connections open. Each request waits for the test.
 class HttpStub {
 public:
     HttpStub() : acceptor_(io_, {asio::ip::address_v4::loopback(), 0}) {
@@ -108,24 +109,24 @@
     std::string address() const { return text_of(acceptor_.local_endpoint()); }
     int connections() const { return connections_; }
 
-    /// The next request; fails the test where none comes.
+    /// Returns the next request. Throws, which fails the test, if none arrives in time.
     Exchange next(std::chrono::milliseconds within = kDeadline) {
         std::unique_lock lock(mutex_);
-        if (!came_.wait_for(lock, within, [this] { return !requests_.empty(); }))
+        if (!request_received_.wait_for(lock, within, [this] { return !requests_.empty(); }))
             throw std::runtime_error("no request came");
         Exchange exchange = std::move(requests_.front());
         requests_.pop_front();
         return exchange;
     }
-    /// Returns once all that was to be written has been, and its bytes have reached the other side.
+    /// Returns after all queued writes were made and their bytes have reached the peer.
     void settle() {
         std::promise<void> written;
         asio::post(io_, [&written] { written.set_value(); });
-        written.get_future().wait();  // on loopback a write puts its bytes into the other side's socket
+        written.get_future().wait();  // on loopback a write puts its bytes into the peer's socket
     }
-    bool none_within(std::chrono::milliseconds span) {
+    bool none_within(std::chrono::milliseconds duration) {
         std::unique_lock lock(mutex_);
-        return !came_.wait_for(lock, span, [this] { return !requests_.empty(); });
+        return !request_received_.wait_for(lock, duration, [this] { return !requests_.empty(); });
     }
 
 private:
@@ -141,8 +142,8 @@
         while (!stopping_) io_.run_for(20ms);
     }
     void accept() {
-        acceptor_.async_accept([this](auto failed, Tcp::socket socket) {
-            if (failed) return;
+        acceptor_.async_accept([this](auto error, Tcp::socket socket) {
+            if (error) return;
             ++connections_;
             read(std::make_shared<Connection>(std::move(socket)));
             accept();
@@ -151,21 +152,21 @@
     void read(const std::shared_ptr<Connection>& connection) {
         connection->parser.emplace();
         http::async_read(connection->socket, connection->buffer, *connection->parser,
-            [this, connection](auto failed, std::size_t) {
-                if (failed) return;
+            [this, connection](auto error, std::size_t) {
+                if (error) return;
                 const std::lock_guard lock(mutex_);
-                requests_.push_back(exchange_of(connection));
-                came_.notify_all();
+                requests_.push_back(make_exchange(connection));
+                request_received_.notify_all();
             });
     }
-    Exchange exchange_of(const std::shared_ptr<Connection>& connection) {
-        const auto reading = std::make_shared<bool>(false);  // an answer may be written in pieces
+    Exchange make_exchange(const std::shared_ptr<Connection>& connection) {
+        const auto read_started = std::make_shared<bool>(false);  // a response may be written in pieces
         return {connection->parser->get(),
-            [this, connection, reading](const std::string& bytes) {
-                asio::post(io_, [this, connection, reading, bytes] {
-                    boost::system::error_code failed;
-                    asio::write(connection->socket, asio::buffer(bytes), failed);
-                    if (!failed && !std::exchange(*reading, true)) read(connection);
+            [this, connection, read_started](const std::string& bytes) {
+                asio::post(io_, [this, connection, read_started, bytes] {
+                    boost::system::error_code error;
+                    asio::write(connection->socket, asio::buffer(bytes), error);
+                    if (!error && !std::exchange(*read_started, true)) read(connection);
                 });
             },
             [this, connection] {
@@ -181,7 +182,7 @@
     std::atomic<bool> stopping_ = false;
     std::atomic<int> connections_ = 0;
     std::mutex mutex_;
-    std::condition_variable came_;
+    std::condition_variable request_received_;
     std::deque<Exchange> requests_;
     std::thread thread_;
 };
@@ -192,18 +193,18 @@
     explicit Client(const Tcp::endpoint& address) : socket_(io_) { socket_.connect(address); }
 
     void send(const std::string& bytes) { asio::write(socket_, asio::buffer(bytes)); }
-    /// One line without its end; empty where the connection ended.
+    /// Reads one line and returns it without its line ending; empty if the connection has ended.
     std::string line() {
         std::string text;
-        for (char byte = 0; wait() && socket_.read_some(asio::buffer(&byte, 1), failed_) == 1;) {
+        for (char byte = 0; wait_readable() && socket_.read_some(asio::buffer(&byte, 1), error_) == 1;) {
             if (byte == '\n') return text.substr(0, text.size() - 1);
             text += byte;
         }
         return text;
     }
-    bool ended() { return line().empty() && failed_.failed(); }
-    /// Once it has ended: not by a close in order.
-    bool reset() const { return failed_ != asio::error::eof; }
+    bool ended() { return line().empty() && error_.failed(); }
+    /// Whether the connection, which has ended, was reset instead of closed in an orderly way.
+    bool reset() const { return error_ != asio::error::eof; }
     std::string ask(const std::vector<std::string>& words) {
         std::string bytes = "*" + std::to_string(words.size()) + "\r\n";
         for (const std::string& word : words)
@@ -213,17 +214,17 @@
     }
 
 private:
-    bool wait() {
+    bool wait_readable() {
         pollfd entry{socket_.native_handle(), POLLIN, 0};
         return poll(&entry, 1, static_cast<int>(std::chrono::milliseconds(kDeadline).count())) == 1;
     }
 
     asio::io_context io_;
     Tcp::socket socket_;
-    boost::system::error_code failed_;
+    boost::system::error_code error_;
 };
 
-/// The status that an operator gets; 0 where the connection ends without one.
+/// Sends an operator request and returns the HTTP status, or 0 if the connection ends without one.
 inline int operate(const Tcp::endpoint& management, const std::string& method, const std::string& path) try {
     Client client(management);
     client.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
@@ -233,48 +234,50 @@
     return 0;
 }
 
-/// Whether the process at that address takes clients in time.
+/// Waits until the process with this management address accepts clients. Returns false after the timeout.
 inline bool says_yes(const Tcp::endpoint& management) {
-    const auto until = std::chrono::steady_clock::now() + kDeadline;
+    const auto give_up_at = std::chrono::steady_clock::now() + kDeadline;
     while (operate(management, "GET", "/ready") != 200) {
-        if (std::chrono::steady_clock::now() > until) return false;
+        if (std::chrono::steady_clock::now() > give_up_at) return false;
         std::this_thread::sleep_for(5ms);
     }
     return true;
 }
 
-/// The built program with its folder; an address that stays the same over restarts.
+/// The built program as a child process, with its own folder and an address that stays the same across
+/// restarts.
 class Node {
 public:
     explicit Node(Json config) : config_(std::move(config)) {
         address_ = other_address();
         config_["listen"] = text_of(address_);
     }
-    /// A free one of this call alone, so that the port is still free when the program binds it.
+    /// Returns a free address on a loopback host that no other call uses, so that the port is still free when
+    /// the program binds it.
     static Tcp::endpoint other_address() {
         static std::atomic<std::uint32_t> calls = 0;
         asio::io_context io;
-        const auto own = static_cast<std::uint32_t>(getpid());
+        const auto process = static_cast<std::uint32_t>(getpid());
         const std::uint32_t host = 1u + calls++ % 250u;
-        const asio::ip::address_v4 address(0x7f400000u | ((own & 0x3fffu) << 8) | host);
+        const asio::ip::address_v4 address(0x7f400000u | ((process & 0x3fffu) << 8) | host);
         return Tcp::acceptor(io, {address, 0}).local_endpoint();
     }
     ~Node() {
-        for (const pid_t one : {pid_, former_})
-            if (one > 0) ::kill(one, SIGKILL), waitpid(one, nullptr, 0);
+        for (const pid_t pid : {pid_, previous_pid_})
+            if (pid > 0) ::kill(pid, SIGKILL), waitpid(pid, nullptr, 0);
     }
 
-    /// The test holds the clients' listening socket, and every process inherits it.
+    /// Opens the listening socket for clients in the test process. Every process started later inherits it.
     void hold_listener() {
-        const auto until = std::chrono::steady_clock::now() + kDeadline;
-        while (!held_) try {
-                held_.emplace(held_io_, address_);
+        const auto give_up_at = std::chrono::steady_clock::now() + kDeadline;
+        while (!listener_) try {
+                listener_.emplace(listener_io_, address_);
             } catch (const boost::system::system_error&) {
-                // a child of another thread of the test holds what was open when it was made, until its exec
-                if (std::chrono::steady_clock::now() > until) throw;
+                // a child that another test thread forked keeps inherited descriptors open until its exec
+                if (std::chrono::steady_clock::now() > give_up_at) throw;
                 std::this_thread::sleep_for(5ms);
             }
-        address_ = held_->local_endpoint();
+        address_ = listener_->local_endpoint();
         config_["listen"] = text_of(address_);
     }
     void start() {
@@ -282,19 +285,19 @@
         std::filesystem::create_directories(state());
         pid_ = spawn("");
     }
-    /// A second process beside the one that runs, which becomes the former one.
+    /// Starts a second process while the first one runs on as the previous process.
     void start_beside(const Tcp::endpoint& management) {
-        former_ = pid_;
+        previous_pid_ = pid_;
         pid_ = spawn(text_of(management));
     }
-    pid_t former() const { return former_; }
+    pid_t former() const { return previous_pid_; }
     int wait_former() {
         int status = 0;
-        waitpid(std::exchange(former_, 0), &status, 0);
+        waitpid(std::exchange(previous_pid_, 0), &status, 0);
         return status;
     }
-    /// The newer process has gone: the former one is the process again.
-    void back_to_former() { pid_ = std::exchange(former_, 0); }
+    /// Makes the previous process the current one again, after the newer one has ended.
+    void back_to_former() { pid_ = std::exchange(previous_pid_, 0); }
 
 private:
     pid_t spawn(const std::string& management) const {
@@ -305,14 +308,15 @@
             setenv("NODE_STATE", state().c_str(), 1);
             if (!management.empty()) setenv("NODE_MANAGEMENT", management.c_str(), 1);
             for (const auto& [name, value] : environment_) setenv(name.c_str(), value.c_str(), 1);
-            if (held_) {
-                dup2(const_cast<Tcp::acceptor&>(*held_).native_handle(), kInherited);
-                setenv("NODE_FD", std::to_string(kInherited).c_str(), 1);
+            if (listener_) {
+                dup2(const_cast<Tcp::acceptor&>(*listener_).native_handle(), kInheritedDescriptor);
+                setenv("NODE_FD", std::to_string(kInheritedDescriptor).c_str(), 1);
             }
-            const int log = ::open(log_path().c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-            dup2(log, 1), dup2(log, 2);
-            // what other threads of the test have open is none of the program's
-            close_range(3, kInherited - 1, 0), close_range(held_ ? kInherited + 1 : kInherited, ~0u, 0);
+            const int log_descriptor = ::open(log_path().c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
+            dup2(log_descriptor, 1), dup2(log_descriptor, 2);
+            // the program must not inherit descriptors that other test threads have open
+            close_range(3, kInheritedDescriptor - 1, 0),
+                close_range(listener_ ? kInheritedDescriptor + 1 : kInheritedDescriptor, ~0u, 0);
             execl(NODE_PATH, NODE_PATH, static_cast<char*>(nullptr));
             _exit(127);
         }
@@ -322,8 +326,8 @@
 public:
     void start_ready() {
         start();
-        const auto until = std::chrono::steady_clock::now() + kDeadline;
-        while (std::chrono::steady_clock::now() < until) try {
+        const auto give_up_at = std::chrono::steady_clock::now() + kDeadline;
+        while (std::chrono::steady_clock::now() < give_up_at) try {
                 if (Client(address_).ask({"PING"}) == "+PONG") return;
             } catch (const boost::system::system_error&) {
                 std::this_thread::sleep_for(10ms);
@@ -332,19 +336,19 @@
     }
     void kill() { ::kill(pid_, SIGKILL); }
     void terminate() { ::kill(pid_, SIGTERM); }
-    /// Puts another file in the place of the configuration and tells the program.
+    /// Replaces the configuration file and sends SIGHUP to the program.
     void reload(const std::string& text) {
         write_config(text);
         ::kill(pid_, SIGHUP);
     }
-    /// How it ended, as waitpid tells it.
+    /// Waits for the process to end and returns its status as waitpid reports it.
     int wait() {
         int status = 0;
         waitpid(std::exchange(pid_, 0), &status, 0);
         return status;
     }
     pid_t pid() const { return pid_; }
-    /// It has ended and was waited for elsewhere.
+    /// Forgets a process that has ended and that other code has already waited for.
     void forget_ended() { pid_ = 0; }
     const Tcp::endpoint& address() const { return address_; }
     Client client() const { return Client(address_); }
@@ -363,34 +367,34 @@
         return {std::istreambuf_iterator<char>(stream), {}};
     }
     bool logs(const std::string& text) const {
-        const auto until = std::chrono::steady_clock::now() + kDeadline;
+        const auto give_up_at = std::chrono::steady_clock::now() + kDeadline;
         while (log().find(text) == std::string::npos) {
-            if (std::chrono::steady_clock::now() > until) return false;
+            if (std::chrono::steady_clock::now() > give_up_at) return false;
             std::this_thread::sleep_for(10ms);
         }
         return true;
     }
     Json& config() { return config_; }
-    /// Of each process that is started from now on, beside what it always has.
+    /// Adds an environment variable to each process that is started later.
     void set_environment(const std::string& name, const std::string& value) { environment_[name] = value; }
 
     void write_config(const std::string& text) const {
-        const auto fresh = folder_.path() / "config.new";
-        std::ofstream(fresh) << text;
-        std::filesystem::rename(fresh, config_path());
+        const auto new_path = folder_.path() / "config.new";
+        std::ofstream(new_path) << text;
+        std::filesystem::rename(new_path, config_path());
     }
 
 private:
     std::filesystem::path config_path() const { return folder_.path() / "config.json"; }
-    static constexpr int kInherited = 40;
+    static constexpr int kInheritedDescriptor = 40;
 
     TemporaryFolder folder_;
     Json config_;
     std::map<std::string, std::string> environment_;
     Tcp::endpoint address_;
-    asio::io_context held_io_;
-    std::optional<Tcp::acceptor> held_;
-    pid_t pid_ = 0, former_ = 0;
+    asio::io_context listener_io_;
+    std::optional<Tcp::acceptor> listener_;
+    pid_t pid_ = 0, previous_pid_ = 0;
 };
 
 }  // namespace lockgw
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -1,4 +1,4 @@
-/// The built program between stub sockets: clients, targets and discovery.
+/// A test fixture that runs the built program with a stub endpoint and a stub discovery service.
 #pragma once
 
 #include <sstream>
@@ -19,7 +19,8 @@
     return {{"revision", revision}, {"complete", complete}, {"members", members}};
 }
 
-/// A forwarder, one target of destination 7 that its first list names, and discovery.
+/// Holds a forwarder, a discovery stub and a stub endpoint of destination 7. The configured initial list
+/// names the endpoint.
 class NodeTest : public ::testing::Test {
 protected:
     NodeTest() : node(make_config("127.0.0.1:1", agent.address())) {
@@ -27,12 +28,13 @@
             {member("s-1", target.address(), 7), member("s-99", target.address(), 99, "terminating")});
     }
 
-    /// Requests to discovery come on two connections: this passes over those of the other kind.
+    /// Returns the next request to discovery whose path starts with `path`. Requests arrive on two
+    /// connections, and those with another path are skipped.
     Exchange agent_request(const std::string& path) {
         while (true) {
             Exchange exchange = agent.next();
-            const auto target_text = exchange.request.target();
-            if (std::string(target_text.data(), target_text.size()).starts_with(path)) return exchange;
+            const auto request_path = exchange.request.target();
+            if (std::string(request_path.data(), request_path.size()).starts_with(path)) return exchange;
             if (path == "/reports") watches.push_back(exchange);
         }
     }
@@ -42,8 +44,8 @@
         for (std::string text; std::getline(stream, text);) lines.push_back(Json::parse(text));
         return lines;
     }
-    static void tell(const Exchange& watch, const Json& told) {
-        const std::string body = told.dump();
+    static void tell(const Exchange& watch, const Json& update) {
+        const std::string body = update.dump();
         watch.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     }
     std::string enqueue(Client& client, const std::string& id, const std::string& kind = "safe",
@@ -56,7 +58,7 @@
 
     HttpStub agent, target;
     Node node;
-    std::vector<Exchange> watches;  // left unanswered
+    std::vector<Exchange> watches;  // requests for the list that were skipped; they get no response
     const std::string id = "9b1f03aa5c7e2d41";
 };
 
