--- a/tests/endpoint_caller_test.cpp
+++ b/tests/endpoint_caller_test.cpp
@@ -15,9 +15,9 @@
     /// Delivers one message and returns after its response was sent.
     void expect_delivered(Client& client, const std::string& id, const std::string& kind = "safe") {
         ASSERT_EQ(enqueue(client, id, kind), "+OK");
-        const Exchange call = target.next();
+        const Exchange call = endpoint_stub.next();
         EXPECT_EQ(call.header("X-Call-Id"), id);
-        call.answer(200);
+        call.respond(200);
     }
 };
 
@@ -27,10 +27,10 @@
     start_with_one_call();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
-    target.next().write(GetParam());
+    endpoint_stub.next().write(GetParam());
     expect_delivered(client, "00000000000000aa");
-    EXPECT_EQ(target.connections(), 2);
-    EXPECT_TRUE(target.none_within(200ms));
+    EXPECT_EQ(endpoint_stub.connections(), 2);
+    EXPECT_TRUE(endpoint_stub.none_within(200ms));
 }
 INSTANTIATE_TEST_SUITE_P(EndpointCaller, OkStatusLine,
     ::testing::Values("HTTP/1.1 200 OK\r\nno colon here\r\n\r\n",
@@ -47,9 +47,9 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
-    target.next().write(GetParam());
-    EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
-    EXPECT_TRUE(target.none_within(200ms));
+    endpoint_stub.next().write(GetParam());
+    EXPECT_EQ(notices(next_discovery_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
+    EXPECT_TRUE(endpoint_stub.none_within(200ms));
 }
 INSTANTIATE_TEST_SUITE_P(EndpointCaller, AmbiguousResponse,
     ::testing::Values("noise\r\n\r\n", "ICY 200 OK\r\n\r\n", "HTTP/1.1 503 X\r\nno colon here\r\n\r\n",
@@ -61,14 +61,14 @@
     start_with_one_call();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     call.write("HTTP/1.1 102 Processing\r\n\r\n");
     std::this_thread::sleep_for(1500ms);  // longer than a response may take once it has started
     // accepted before the first response: otherwise the idle connection may be released in between
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");
     call.write("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    target.next().answer(200);
-    EXPECT_EQ(target.connections(), 1);
+    endpoint_stub.next().respond(200);
+    EXPECT_EQ(endpoint_stub.connections(), 1);
 }
 
 // Occasional malformed responses are no outage, and other messages must not wait as if there were one.
@@ -78,16 +78,16 @@
     for (int i = 10; i < 40; ++i) {
         const std::string message = "00000000000000" + std::to_string(i);
         ASSERT_EQ(enqueue(client, message), "+OK");
-        Exchange call = target.next();
+        Exchange call = endpoint_stub.next();
         EXPECT_EQ(call.header("X-Call-Id"), message);
         if (i % 4 == 0) {
             const auto failed_at = Clock::now();
             call.write("noise\r\n\r\n");
-            call = target.next();
+            call = endpoint_stub.next();
             EXPECT_EQ(call.header("X-Call-Id"), message);
             EXPECT_LT(Clock::now() - failed_at, 5s);
         }
-        call.answer(200);
+        call.respond(200);
     }
 }
 
@@ -102,12 +102,12 @@
         start_with_one_call();
         Client client = node.client();
         EXPECT_EQ(enqueue(client, id), "+OK");
-        const Exchange first = target.next();
+        const Exchange first = endpoint_stub.next();
         for (const auto& [message, kind] : others) EXPECT_EQ(enqueue(client, message, kind), "+OK");
-        first.answer(200);
-        return target.next();
+        first.respond(200);
+        return endpoint_stub.next();
     }
-    static void answer(const Exchange& call, const Json& states, const std::string& headers = "") {
+    static void respond(const Exchange& call, const Json& states, const std::string& headers = "") {
         const std::string body = states.dump();
         call.write("HTTP/1.1 200 X\r\n" + headers + "Content-Length: " + std::to_string(body.size()) +
                    "\r\n\r\n" + body);
@@ -124,11 +124,11 @@
     EXPECT_EQ(sent[2], (Json{{"id", a}, {"key", "5c0f6e1a2b3d4c59"}, {"body", "Qk9EWQ=="}}));
     EXPECT_EQ(sent[1]["id"], b);
     EXPECT_EQ(sent[0]["id"], c);
-    answer(
+    respond(
         call, {{{"id", a}, {"state", "ok"}}, {{"id", b}, {"state", "error"}}, {{"id", c}, {"state", "ok"}}});
     // the at-most-once message may have run, so it has ended and is not retried
-    EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", b}, {"result", "dead"}}));
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_EQ(notices(next_discovery_request("/reports"))[0], (Json{{"ref", b}, {"result", "dead"}}));
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 // An endpoint ends a call when the time of its first message is over. If other messages had more time, the
@@ -138,11 +138,11 @@
     start_with_one_call();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange first = target.next();
+    const Exchange first = endpoint_stub.next();
     for (const auto& [message, left_ms] : {std::pair(a, 9000), std::pair(b, 30000), std::pair(c, 20000)})
         ASSERT_EQ(enqueue(client, message, "safe", left_ms), "+OK");
-    first.answer(200);
-    const Exchange call = target.next();
+    first.respond(200);
+    const Exchange call = endpoint_stub.next();
     const Json sent = Json::parse(call.request.body());
     ASSERT_EQ(sent.size(), 3u);
     EXPECT_EQ(sent[0]["id"], b);
@@ -150,27 +150,27 @@
     EXPECT_EQ(sent[2]["id"], a);
     EXPECT_GT(std::stoi(call.header("X-Budget-Ms")), 20000);  // the budget of the message that comes first
     EXPECT_LE(std::stoi(call.header("X-Budget-Ms")), 30000);
-    call.answer(500);
+    call.respond(500);
 }
 
 TEST_F(BatchTest, RetriesARejectedMessageAfterRetryAfter) {
     const Exchange call = send_batch({{a, "safe"}, {b, "unsafe"}});
     const auto responded_at = Clock::now();
-    answer(call, {{{"id", a}, {"state", "ok"}}, {{"id", b}, {"state", "later"}}}, "Retry-After: 0.7\r\n");
-    const Exchange again = target.next();
+    respond(call, {{{"id", a}, {"state", "ok"}}, {{"id", b}, {"state", "later"}}}, "Retry-After: 0.7\r\n");
+    const Exchange again = endpoint_stub.next();
     EXPECT_EQ(again.header("X-Call-Id"), b);
     EXPECT_GE(Clock::now() - responded_at, 700ms);
-    again.answer(200);
+    again.respond(200);
 }
 
 // Retry-After also holds if every message of its call was delivered.
 TEST_F(BatchTest, HonoursRetryAfterWhenAllMessagesWereDelivered) {
     const Exchange call = send_batch({{a, "safe"}, {b, "safe"}});
     const auto responded_at = Clock::now();
-    answer(call, {{{"id", a}, {"state", "ok"}}, {{"id", b}, {"state", "ok"}}}, "Retry-After: 0.7\r\n");
+    respond(call, {{{"id", a}, {"state", "ok"}}, {{"id", b}, {"state", "ok"}}}, "Retry-After: 0.7\r\n");
     Client client = node.client();
     ASSERT_EQ(enqueue(client, c), "+OK");
-    target.next().answer(200);
+    endpoint_stub.next().respond(200);
     EXPECT_GE(Clock::now() - responded_at, 700ms);
 }
 
@@ -180,12 +180,12 @@
     call.write("HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n[{\"id\": 1");
     std::set<Json> dead;
     while (dead.size() < 2) {
-        const Exchange report = agent_request("/reports");
+        const Exchange report = next_discovery_request("/reports");
         for (const Json& notice : notices(report)) dead.insert(notice);
-        report.answer(204);
+        report.respond(204);
     }
     EXPECT_EQ(dead, (std::set<Json>{{{"ref", a}, {"result", "dead"}}, {{"ref", b}, {"result", "dead"}}}));
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 // The network path dropped idle connections without notice, well before the configured idle limit, and calls
@@ -195,15 +195,15 @@
     Client client = node.client();
     expect_delivered(client, "00000000000000a1");
     expect_delivered(client, "00000000000000a2");  // the connection is kept from now on
-    const int connections = target.connections();
+    const int connections = endpoint_stub.connections();
     std::this_thread::sleep_for(200ms);
     ASSERT_EQ(enqueue(client, id), "+OK");
-    target.next().hang_up();
-    target.next().answer(200);
-    EXPECT_EQ(target.connections(), connections + 1);
+    endpoint_stub.next().close_connection();
+    endpoint_stub.next().respond(200);
+    EXPECT_EQ(endpoint_stub.connections(), connections + 1);
     std::this_thread::sleep_for(200ms);
     expect_delivered(client, "00000000000000a3");
-    EXPECT_EQ(target.connections(), connections + 2);
+    EXPECT_EQ(endpoint_stub.connections(), connections + 2);
 }
 
 // With 350 forwarders, their idle connections filled the connection tables of the endpoints, which rejected
@@ -213,21 +213,21 @@
     const bool closed = GetParam();
     node.start_ready();
     Client client = node.client();
-    const int initial = target.connections();
+    const int initial = endpoint_stub.connections();
     std::vector<Exchange> calls;  // the last one is on a separate connection
-    for (int i = 0; i < 2 || target.connections() < initial + 2; ++i) {
+    for (int i = 0; i < 2 || endpoint_stub.connections() < initial + 2; ++i) {
         ASSERT_EQ(enqueue(client, "00000000000000a" + std::to_string(i)), "+OK");
-        calls.push_back(target.next());
+        calls.push_back(endpoint_stub.next());
     }
-    calls.back().answer(503, closed ? "Connection: close\r\n" : "");
+    calls.back().respond(503, closed ? "Connection: close\r\n" : "");
     calls.pop_back();
-    for (const Exchange& call : calls) call.answer(200);
-    target.next().answer(200);  // the retry of the rejected call
+    for (const Exchange& call : calls) call.respond(200);
+    endpoint_stub.next().respond(200);  // the retry of the rejected call
     expect_delivered(client, "00000000000000b1");
     std::this_thread::sleep_for(300ms);
-    const int before = target.connections();
+    const int before = endpoint_stub.connections();
     expect_delivered(client, "00000000000000b2");
-    EXPECT_EQ(target.connections(), before + (closed ? 1 : 0));
+    EXPECT_EQ(endpoint_stub.connections(), before + (closed ? 1 : 0));
 }
 INSTANTIATE_TEST_SUITE_P(EndpointCaller, RejectedNewConnection, ::testing::Bool());
 
@@ -294,7 +294,7 @@
         pollfd entry{socket.native_handle(), POLLIN, 0};
         return poll(&entry, 1, static_cast<int>(within.count())) == 1;
     }
-    static void answer(Tcp::socket& socket, const std::string& text) {
+    static void respond(Tcp::socket& socket, const std::string& text) {
         char request[4096];
         ASSERT_TRUE(readable(socket, kDeadline));
         socket.read_some(asio::buffer(request));
@@ -322,7 +322,7 @@
     ASSERT_TRUE(LateEndpoint::readable(first, kDeadline));
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");  // its connection is not established
     std::this_thread::sleep_for(200ms);
-    LateEndpoint::answer(first, "HTTP/1.1 429 X\r\nContent-Length: 0\r\nRetry-After: 4\r\n\r\n");
+    LateEndpoint::respond(first, "HTTP/1.1 429 X\r\nContent-Length: 0\r\nRetry-After: 4\r\n\r\n");
     const auto responded_at = Clock::now();
     const Tcp::socket filling = late.accept();
     Tcp::socket second = late.accept();
@@ -358,11 +358,11 @@
         ASSERT_LT(Clock::now(), until);
     ::kill(node.pid(), GetParam());
     node.wait();
-    node.config()["known"] = list(1, true, {member("s-1", target.address(), 7)});
+    node.config()["known"] = list(1, true, {member("s-1", endpoint_stub.address(), 7)});
     node.start_ready();
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     EXPECT_EQ(call.header("X-Call-Id"), id);
-    call.answer(200);
+    call.respond(200);
 }
 INSTANTIATE_TEST_SUITE_P(EndpointCaller, RestartWhileConnecting, ::testing::Values(SIGKILL, SIGTERM));
 
@@ -373,13 +373,13 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     const auto responded_at = Clock::now();
     call.write("HTTP/1.1 429 X\r\nRetry-After: 2.5\r\n");
     std::this_thread::sleep_for(100ms);  // until Retry-After is read; a call may still be sent before that
     call.write(GetParam());
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");
-    target.next().answer(200);
+    endpoint_stub.next().respond(200);
     EXPECT_GE(Clock::now() - responded_at, 2500ms);
 }
 INSTANTIATE_TEST_SUITE_P(EndpointCaller, RetryAfterInAnIncompleteResponse,
@@ -389,20 +389,20 @@
 // The timeout expires before the event loop reports that the request was written, so the message may have
 // run.
 TEST(EndpointCaller, ReportsATimeoutIfTheRequestWasWrittenAsItsTimeRanOut) {
-    HttpStub target;
+    HttpStub endpoint_stub;
     const Config config = read_config(make_config("127.0.0.1:1", "127.0.0.1:1"));
     asio::io_context io;
     std::optional<cometspoke::Outcome> outcome;
     EndpointCaller caller(
         io, config, 8, [](auto...) { return true; }, [](auto) {},
         [&](const cometspoke::OutcomeEvent& event) { outcome = event.outcome; });
-    caller.set_address(1, tcp_endpoint(target.address(), "target"), 0);
+    caller.set_address(1, tcp_endpoint(endpoint_stub.address(), "target"), 0);
     caller.start({OutgoingAttempt{1, 1, 0, "", "B", 50ms, std::nullopt}});
     const auto due = Clock::now() + 60ms;
     // the connection is established and the time is over before the loop runs
     while (Clock::now() < due) continue;
     while (!outcome) ASSERT_GT(io.run_one_for(kDeadline), 0u);
-    EXPECT_EQ(target.next().header("X-Call-Id"), "0000000000000001");
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), "0000000000000001");
     EXPECT_EQ(outcome, cometspoke::Outcome::TimedOut);
 }
 
@@ -434,15 +434,15 @@
 /// A call that is cancelled while a response with Retry-After is on its way.
 class CancelledCall : public ::testing::Test {
 protected:
-    CancelledCall() { caller.set_address(1, tcp_endpoint(target.address(), "target"), 0); }
+    CancelledCall() { caller.set_address(1, tcp_endpoint(endpoint_stub.address(), "target"), 0); }
     /// Runs until the endpoint has received the whole call.
     Exchange call(cometspoke::Time timeout) {
         caller.start({OutgoingAttempt{1, 1, 0, "", "B", timeout, std::nullopt}});
-        while (target.none_within(0ms)) io.run_one_for(10ms);
-        return target.next();
+        while (endpoint_stub.none_within(0ms)) io.run_one_for(10ms);
+        return endpoint_stub.next();
     }
 
-    HttpStub target;
+    HttpStub endpoint_stub;
     const Config config = read_config(make_config("127.0.0.1:1", "127.0.0.1:1"));
     asio::io_context io;
     std::vector<cometspoke::Time> retry_after_times;
@@ -457,7 +457,7 @@
 TEST_F(CancelledCall, UsesAResponseThatHasArrived) {
     const Exchange exchange = call(20s);
     exchange.write(rejection);
-    target.settle();
+    endpoint_stub.settle();
     caller.cancel(1, 0);
     ASSERT_EQ(outcomes.size(), 1u);
     EXPECT_EQ(outcomes[0].outcome, cometspoke::Outcome::Rejected);
@@ -476,12 +476,12 @@
     EXPECT_GT(retry_after_times[0], 2s);
     EXPECT_EQ(outcomes.size(), 1u);
     call(20s);  // on another connection, because sending on the first one has been shut down
-    EXPECT_EQ(target.connections(), 2);
+    EXPECT_EQ(endpoint_stub.connections(), 2);
 }
 
 // Only those messages are removed from a batch call that may not start any more.
 TEST(EndpointCaller, WritesOnlyAttemptsThatMayStart) {
-    HttpStub target;
+    HttpStub endpoint_stub;
     Json file = make_config("127.0.0.1:1", "127.0.0.1:1");
     file["settings"]["family_info"]["per_call"] = {3};
     const Config config = read_config(file);
@@ -490,14 +490,14 @@
     EndpointCaller caller(
         io, config, 8, [](MessageId message, std::uint32_t) { return message == 2; }, [](auto) {},
         [&](const cometspoke::OutcomeEvent& event) { outcomes[event.message] = event.outcome; });
-    caller.set_address(1, tcp_endpoint(target.address(), "target"), 0);
+    caller.set_address(1, tcp_endpoint(endpoint_stub.address(), "target"), 0);
     const auto attempt = [](MessageId id) { return OutgoingAttempt{id, 1, 0, "", "B", 20s, std::nullopt}; };
     caller.start({attempt(1), attempt(2), attempt(3)});
     EXPECT_EQ(caller.active_call_count(), 1u);
-    std::thread answering([&target] {
-        const Exchange call = target.next();
+    std::thread answering([&endpoint_stub] {
+        const Exchange call = endpoint_stub.next();
         EXPECT_EQ(call.header("X-Call-Id"), "0000000000000002");
-        call.answer(200);
+        call.respond(200);
     });
     while (outcomes.size() < 3) ASSERT_GT(io.run_one_for(kDeadline), 0u);
     answering.join();
@@ -512,13 +512,15 @@
     start_with_one_call();
     Client client = node.client();
     expect_delivered(client, id);
-    tell(agent_request("/v1/servers"), list(1, true, {member("s-1", target.address(), 7)}));
-    tell(agent_request("/v1/servers?from=1"),
+    send_endpoint_list(
+        next_discovery_request("/v1/servers"), list(1, true, {member("s-1", endpoint_stub.address(), 7)}));
+    send_endpoint_list(next_discovery_request("/v1/servers?from=1"),
         list(2, false,
-            {member("s-1", target.address(), 7, "terminated"), member("s-2", target.address(), 7)}));
-    const Exchange watch = agent_request("/v1/servers?from=2");
+            {member("s-1", endpoint_stub.address(), 7, "terminated"),
+                member("s-2", endpoint_stub.address(), 7)}));
+    const Exchange watch = next_discovery_request("/v1/servers?from=2");
     expect_delivered(client, "00000000000000aa");
-    EXPECT_EQ(target.connections(), 2);
+    EXPECT_EQ(endpoint_stub.connections(), 2);
 }
 
 // An endpoint is removed during a call; the outcome of the call still counts for the message.
@@ -526,15 +528,16 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
-    const Exchange call = target.next();
-    tell(agent_request("/v1/servers"), list(1, true, {member("s-2", target.address(), 7)}));
-    const Exchange watch = agent_request("/v1/servers?from=1");
+    const Exchange call = endpoint_stub.next();
+    send_endpoint_list(
+        next_discovery_request("/v1/servers"), list(1, true, {member("s-2", endpoint_stub.address(), 7)}));
+    const Exchange watch = next_discovery_request("/v1/servers?from=1");
     for (int i = 10; i < 14; ++i) {
         expect_delivered(client, "00000000000000" + std::to_string(i));
         std::this_thread::sleep_for(400ms);  // endpoints without any reference are released meanwhile
     }
-    call.answer(200);
-    EXPECT_TRUE(agent.none_within(500ms));
+    call.respond(200);
+    EXPECT_TRUE(discovery_stub.none_within(500ms));
     EXPECT_EQ(client.ask({"PING"}), "+PONG");
 }
 
@@ -551,7 +554,7 @@
         const auto descriptors =
             std::filesystem::directory_iterator("/proc/" + std::to_string(node.pid()) + "/fd");
         ASSERT_LE(std::distance(begin(descriptors), end(descriptors)), 64);
-        target.next().write("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nand no more");
+        endpoint_stub.next().write("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nand no more");
     }
     EXPECT_EQ(client.ask({"PING"}), "+PONG");
 }
--- a/tests/endpoint_directory_test.cpp
+++ b/tests/endpoint_directory_test.cpp
@@ -25,11 +25,11 @@
 
 class DirectoryTest : public ::testing::Test {
 protected:
-    Gone apply_full(std::vector<EndpointRecord> targets) {
-        return directory.apply({1, true, std::move(targets)}, now);
+    Gone apply_full(std::vector<EndpointRecord> endpoints) {
+        return directory.apply({1, true, std::move(endpoints)}, now);
     }
-    Gone apply_delta(std::vector<EndpointRecord> targets) {
-        return directory.apply({1, false, std::move(targets)}, now);
+    Gone apply_delta(std::vector<EndpointRecord> endpoints) {
+        return directory.apply({1, false, std::move(endpoints)}, now);
     }
 
     EndpointDirectory directory;
@@ -106,12 +106,13 @@
 protected:
     /// Feeds the text to a reader in pieces of the given number of bytes.
     ListReader::Head read(const std::string& text, std::size_t piece, ListLimits limits = ample()) {
-        targets.clear();
-        ListReader reader(limits, [this](EndpointRecord target) { targets.push_back(std::move(target)); });
+        endpoints.clear();
+        ListReader reader(
+            limits, [this](EndpointRecord endpoint) { endpoints.push_back(std::move(endpoint)); });
         for (std::size_t at = 0; at < text.size(); at += piece) reader.feed(text.substr(at, piece));
         return reader.finish();
     }
-    std::vector<EndpointRecord> targets;
+    std::vector<EndpointRecord> endpoints;
 };
 
 // The result equals that of parsing the whole text, however the bytes are divided.
@@ -128,24 +129,24 @@
             const ListReader::Head head = read(text, piece);
             EXPECT_EQ(head.revision, 41);
             EXPECT_TRUE(head.complete);
-            ASSERT_EQ(targets.size(), expected.endpoints.size());
-            for (std::size_t i = 0; i < targets.size(); ++i) {
-                EXPECT_EQ(targets[i].id, expected.endpoints[i].id);
-                EXPECT_EQ(targets[i].address, expected.endpoints[i].address);
-                EXPECT_EQ(targets[i].destination, expected.endpoints[i].destination);
-                EXPECT_EQ(targets[i].condition, expected.endpoints[i].condition);
+            ASSERT_EQ(endpoints.size(), expected.endpoints.size());
+            for (std::size_t i = 0; i < endpoints.size(); ++i) {
+                EXPECT_EQ(endpoints[i].id, expected.endpoints[i].id);
+                EXPECT_EQ(endpoints[i].address, expected.endpoints[i].address);
+                EXPECT_EQ(endpoints[i].destination, expected.endpoints[i].destination);
+                EXPECT_EQ(endpoints[i].condition, expected.endpoints[i].condition);
             }
         }
     }
     EXPECT_FALSE(read(R"({"members":[],"complete":false,"revision":1})", 3).complete);
-    EXPECT_TRUE(targets.empty());
+    EXPECT_TRUE(endpoints.empty());
 }
 
 TEST_F(ListReaderTest, RejectsATextThatIsTruncatedAnywhere) {
     const std::string whole =
         list(41, true, {member("s-1", "10.1.0.17:1", 1), member("s-2", "10.1.0.17:2", 2)}).dump();
     read(whole, 11);
-    EXPECT_EQ(targets.size(), 2u);
+    EXPECT_EQ(endpoints.size(), 2u);
     for (std::size_t cut = 0; cut < whole.size(); ++cut)
         EXPECT_ANY_THROW(read(whole.substr(0, cut), 11)) << cut;
 }
@@ -284,7 +285,7 @@
 
     HugeList() {
         node.config()["limits"]["memory_mb"] = 256;
-        node.config()["known"] = list(1, true, {member("s-1", target.address(), 7)});
+        node.config()["known"] = list(1, true, {member("s-1", endpoint_stub.address(), 7)});
     }
     /// A list of many endpoints and s-1 of destination 7, which has the given phase.
     std::string huge_list(int revision, const char* phase = "in_service", int most = kEndpoints) {
@@ -293,17 +294,17 @@
             text += R"({"id":"t-)" + std::to_string(i) +
                     R"(","host_port":"127.0.0.1:9","locality":"a","flavor":"shop","cell":)" +
                     std::to_string(1000 + i) + R"(,"phase":"in_service","size":1.0,"up_since_ms":0},)";
-        return text + member("s-1", target.address(), 7, phase).dump() + "]}";
+        return text + member("s-1", endpoint_stub.address(), 7, phase).dump() + "]}";
     }
-    static void send_list(const Exchange& watch, const std::string& body) {
+    static void send_list_text(const Exchange& watch, const std::string& body) {
         watch.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     }
     void expect_delivered(const std::string& one) {
         Client client = node.client();
         ASSERT_EQ(enqueue(client, one), "+OK");
-        const Exchange call = target.next();
+        const Exchange call = endpoint_stub.next();
         EXPECT_EQ(call.header("X-Call-Id"), one);
-        call.answer(200);
+        call.respond(200);
     }
     std::size_t lines_with(const std::string& text) const {
         const std::string log = node.log();
@@ -315,8 +316,8 @@
 
 TEST_F(HugeList, IsTakenWhole) {
     node.start_ready();
-    send_list(agent_request("/v1/servers?from=1"), huge_list(2));
-    const Exchange watch = agent_request("/v1/servers?from=2");
+    send_list_text(next_discovery_request("/v1/servers?from=1"), huge_list(2));
+    const Exchange watch = next_discovery_request("/v1/servers?from=2");
     EXPECT_EQ(lines_with("discovery:"), 0u) << node.log();
     Client client = node.client();
     EXPECT_EQ(enqueue(client, "00000000000000b1", "safe", 30000, "B", 1000 + kEndpoints - 1), "+OK");
@@ -328,14 +329,14 @@
 TEST_F(HugeList, EndsWhatItLeavesOutAndASmallOneEndsItsOwn) {
     node.start_ready();
     constexpr int few = 5000;
-    send_list(agent_request("/v1/servers?from=1"), huge_list(2, "terminating", few));
-    const Exchange watch = agent_request("/v1/servers?from=2");
+    send_list_text(next_discovery_request("/v1/servers?from=1"), huge_list(2, "terminating", few));
+    const Exchange watch = next_discovery_request("/v1/servers?from=2");
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    EXPECT_TRUE(target.none_within(200ms));  // its endpoint drains
-    tell(watch, list(3, true, {member("s-2", target.address(), 7)}));
-    EXPECT_EQ(target.next().header("X-Call-Id"), id);
-    const Exchange next = agent_request("/v1/servers?from=3");
+    EXPECT_TRUE(endpoint_stub.none_within(200ms));  // its endpoint drains
+    send_endpoint_list(watch, list(3, true, {member("s-2", endpoint_stub.address(), 7)}));
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), id);
+    const Exchange next = next_discovery_request("/v1/servers?from=3");
     EXPECT_EQ(lines_with("discovery:"), 0u) << node.log();
 }
 
@@ -345,15 +346,15 @@
     node.start_ready();
     constexpr int few = 5000;
     const std::string whole = huge_list(2, "terminating", few);
-    const Exchange cut = agent_request("/v1/servers?from=1");
+    const Exchange cut = next_discovery_request("/v1/servers?from=1");
     cut.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(whole.size()) + "\r\n\r\n" +
               whole.substr(0, whole.size() / 2));
-    cut.hang_up();
+    cut.close_connection();
     std::string malformed = whole;
     malformed[malformed.size() / 2] = '\x01';
-    send_list(agent_request("/v1/servers?from=1"), malformed);
-    send_list(agent_request("/v1/servers?from=1"), whole.substr(0, whole.size() - 1));
-    const Exchange next = agent_request("/v1/servers?from=1");
+    send_list_text(next_discovery_request("/v1/servers?from=1"), malformed);
+    send_list_text(next_discovery_request("/v1/servers?from=1"), whole.substr(0, whole.size() - 1));
+    const Exchange next = next_discovery_request("/v1/servers?from=1");
     EXPECT_EQ(lines_with("discovery: a list refused after"), 2u) << node.log();
     EXPECT_EQ(lines_with("discovery: an unreadable list"), 1u) << node.log();
     EXPECT_EQ(lines_with("discovery:"), 3u) << node.log();
@@ -363,23 +364,23 @@
 // Memory is allocated only for bytes that arrive, whatever length the header states, and requests go on.
 TEST_F(HugeList, AnAnnouncedLengthAllocatesNoMemory) {
     node.start_ready();
-    const Exchange watch = agent_request("/v1/servers?from=1");
+    const Exchange watch = next_discovery_request("/v1/servers?from=1");
     watch.write("HTTP/1.1 200 OK\r\nContent-Length: 4611686018427387904\r\n\r\n{\"revision\"");
-    watch.hang_up();
-    tell(agent_request("/v1/servers?from=1"), list(2, false, {}));
-    agent_request("/v1/servers?from=2");
+    watch.close_connection();
+    send_endpoint_list(next_discovery_request("/v1/servers?from=1"), list(2, false, {}));
+    next_discovery_request("/v1/servers?from=2");
 }
 
 TEST_F(HugeList, AnEndlessListIsRejected) {
     node.config()["limits"]["memory_mb"] = 32;
     node.start_ready();
-    const Exchange watch = agent_request("/v1/servers?from=1");
+    const Exchange watch = next_discovery_request("/v1/servers?from=1");
     watch.write("HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n{\"members\":[");
     const std::string piece(1 << 20, ' ');
     for (int i = 0; i < 64; ++i) watch.write(piece);
     EXPECT_TRUE(node.logs("the last one stays: more than")) << node.log();
-    tell(agent_request("/v1/servers?from=1"), list(2, false, {}));
-    agent_request("/v1/servers?from=2");
+    send_endpoint_list(next_discovery_request("/v1/servers?from=1"), list(2, false, {}));
+    next_discovery_request("/v1/servers?from=2");
     expect_delivered(id);
 }
 
@@ -387,13 +388,13 @@
 TEST_F(HugeList, AChangeOfAgentsDuringAnUpdateAsksTheNewAgent) {
     HttpStub other;
     node.start_ready();
-    send_list(agent_request("/v1/servers?from=1"), huge_list(2));
+    send_list_text(next_discovery_request("/v1/servers?from=1"), huge_list(2));
     Json moved = node.config();
     moved["discovery"] = other.address();
     node.reload(moved.dump());
     const Exchange first = other.next();
     EXPECT_EQ(first.request.target(), "/v1/servers");
-    tell(first, list(9, true, {member("s-1", target.address(), 7)}));
+    send_endpoint_list(first, list(9, true, {member("s-1", endpoint_stub.address(), 7)}));
     EXPECT_TRUE(std::string(other.next().request.target()).starts_with("/v1/servers?from=9&"));
     expect_delivered(id);
 }
@@ -414,27 +415,27 @@
         const auto until = Clock::now() + kDeadline;
         while (true) {
             const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - Clock::now());
-            Exchange exchange = agent.next(std::max(left, 0ms));
+            Exchange exchange = discovery_stub.next(std::max(left, 0ms));
             if (!std::string(exchange.request.target()).starts_with("/v1/servers?from=")) return exchange;
         }
     }
 };
 TEST_F(HugeHandover, TheNewOneTakesOverAndAsksForTheList) {
     const Tcp::endpoint before = Node::other_address(), after = Node::other_address();
-    node.hold_listener();
+    node.open_inherited_listener();
     node.config()["management"] = text_of(before);
     node.start_ready();
-    send_list(agent_request("/v1/servers?from=1"), huge_list(2));
-    agent_request("/v1/servers?from=2");
-    node.start_beside(after);
+    send_list_text(next_discovery_request("/v1/servers?from=1"), huge_list(2));
+    next_discovery_request("/v1/servers?from=2");
+    node.start_successor(after);
     ASSERT_TRUE(becomes_ready(after)) << node.log();
     const Exchange first = next_request_except_watches();
     EXPECT_EQ(first.request.target(), "/v1/servers");
     Client client = node.client();
     EXPECT_TRUE(
         enqueue(client, "00000000000000b1", "safe", 30000, "B", 1000 + kEndpoints - 1).starts_with("-BUSY"));
-    send_list(first, huge_list(2));
-    const Exchange watch = agent_request("/v1/servers?from=2");
+    send_list_text(first, huge_list(2));
+    const Exchange watch = next_discovery_request("/v1/servers?from=2");
     EXPECT_EQ(enqueue(client, "00000000000000b2", "safe", 30000, "B", 1000 + kEndpoints - 1), "+OK");
     expect_delivered(id);
 }
--- a/tests/false_claim.hpp
+++ b/tests/false_claim.hpp
@@ -21,7 +21,7 @@
         asio::write(socket_, asio::buffer(&length, sizeof length));
         asio::write(socket_, asio::buffer(bytes));
     }
-    Json hear() {
+    Json receive() {
         std::uint32_t length = 0;
         asio::read(socket_, asio::buffer(&length, sizeof length));
         std::vector<std::uint8_t> bytes(length);
--- a/tests/fault/fault_fixture.hpp
+++ b/tests/fault/fault_fixture.hpp
@@ -81,12 +81,12 @@
     Json first_notice(std::chrono::milliseconds within = 5s) {
         const auto until = Clock::now() + within;
         while (Clock::now() < until) {
-            const Exchange exchange = agent.next(within);
+            const Exchange exchange = discovery_stub.next(within);
             if (exchange.request.target() != "/reports") {
                 watches.push_back(exchange);
                 continue;
             }
-            exchange.answer(204);
+            exchange.respond(204);
             return notices(exchange)[0];
         }
         return nullptr;
--- a/tests/fault/fault_replacement_test.cpp
+++ b/tests/fault/fault_replacement_test.cpp
@@ -45,7 +45,7 @@
         violations.push_back(what + "\n" + world.node.log());
         return violations;
     };
-    world.node.hold_listener();
+    world.node.open_inherited_listener();
     world.node.config()["management"] = text_of(first_management);
     world.agent.publish(list(2, true, {member("s-1", world.first.address(), 7)}));
     if (!world.start()) return failed("the first process does not become ready");
@@ -56,14 +56,14 @@
         return failed("the endpoint does not get both calls");
 
     world.faults.arm(0, fault);
-    world.node.start_beside(second_management);
-    if (!says_yes(second_management)) return failed("the second process does not become ready");
+    world.node.start_successor(second_management);
+    if (!wait_until_ready(second_management)) return failed("the second process does not become ready");
     if (world.enqueue_message("keyed", ample_time).empty()) return failed("a message is not accepted");
     world.first.drop_held();
     if (!world.wait_until([&] { return world.checker.all_ended(); })) return failed("messages do not end");
 
-    ::kill(world.node.former(), SIGTERM);
-    if (const int status = world.node.wait_former(); status != 0)
+    ::kill(world.node.previous_pid(), SIGTERM);
+    if (const int status = world.node.wait_for_previous(); status != 0)
         return failed("the shutdown of the first process was not orderly: " + std::to_string(status));
     if (const int status = world.terminate(); status != 0)
         return failed("the shutdown of the second process was not orderly: " + std::to_string(status));
--- a/tests/fault/fault_world.hpp
+++ b/tests/fault/fault_world.hpp
@@ -68,7 +68,7 @@
         const std::lock_guard lock(mutex_);
         for (const Exchange& call : held_) {
             record(call, MessageEvent::Kind::CallEnded, 0, {});
-            call.hang_up();
+            call.close_connection();
         }
         held_.clear();
     }
@@ -88,7 +88,7 @@
         if (response.retry_after > 0ms)
             headers << "Retry-After: " << std::chrono::duration<double>(response.retry_after).count()
                     << "\r\n";
-        call.answer(response.status, headers.str());
+        call.respond(response.status, headers.str());
     }
     Response next_response(const std::string& id) {
         auto& plan = plans_[id];
@@ -154,7 +154,7 @@
             event.detail = Json::parse(line).at("result").get<std::string>();
             checker_.record(Json::parse(line).at("ref").get<std::string>(), event);
         }
-        call.answer(204);
+        call.respond(204);
     }
     void write_list(const Exchange& call) {
         const std::string body = list_.dump();
--- a/tests/fault/handover_fault_test.cpp
+++ b/tests/fault/handover_fault_test.cpp
@@ -8,7 +8,7 @@
 class HandoverFaultTest : public FaultNodeTest {
 protected:
     HandoverFaultTest() : old_address(node.other_address()), new_address(node.other_address()) {
-        node.hold_listener();
+        node.open_inherited_listener();
         node.config()["management"] = text_of(old_address);
     }
 
@@ -25,8 +25,8 @@
     faults.arm(0, {fault::Call::Listen, EADDRINUSE, 1});  // the first call listens on the operators' address
     node.start_ready();
     ASSERT_EQ(faults.hits(0), 1);
-    node.start_beside(new_address);
-    EXPECT_TRUE(says_yes(new_address)) << node.log();
+    node.start_successor(new_address);
+    EXPECT_TRUE(wait_until_ready(new_address)) << node.log();
 }
 
 // Guards against a new process that exits, or starts without messages, if the journal cannot be opened
@@ -36,14 +36,14 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     constexpr int opens_of_one_start = 4;  // configuration, folder, lock; the boot id is not counted
     faults.arm(0, {fault::Call::Open, ENFILE, opens_of_one_start - 1, 30});
-    node.start_beside(new_address);
-    EXPECT_TRUE(says_yes(new_address)) << node.log();
+    node.start_successor(new_address);
+    EXPECT_TRUE(wait_until_ready(new_address)) << node.log();
     EXPECT_GT(faults.hits(0), 0);
-    call.answer(200);
-    EXPECT_TRUE(target.none_within(300ms));
+    call.respond(200);
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 // Guards against a notice that is never sent: the end of the message could not be recorded, and then another
@@ -52,13 +52,13 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     faults.arm(0, {fault::Call::Write, ENOSPC, 0, kAllCalls});
-    call.answer(500);  // the message may have run, so it ends at once
+    call.respond(500);  // the message may have run, so it ends at once
     ASSERT_TRUE(node.logs("cannot be written"));
     FalseClaim claimant(node.state());
     claimant.send({{"step", "claim"}});
-    ASSERT_EQ(claimant.hear()["step"], "offer");
+    ASSERT_EQ(claimant.receive()["step"], "offer");
     faults.arm(0, {});
     // the offer is withdrawn without a further step
     EXPECT_EQ(first_notice(), (Json{{"ref", id}, {"result", "dead"}}));
@@ -70,16 +70,16 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     faults.arm(0, {fault::Call::Write, ENOSPC, 0, kAllCalls});
-    call.answer(200);
+    call.respond(200);
     ASSERT_TRUE(node.logs("cannot be written"));
     FalseClaim claimant(node.state());
     claimant.send({{"step", "claim"}});
-    ASSERT_EQ(claimant.hear()["step"], "offer");
+    ASSERT_EQ(claimant.receive()["step"], "offer");
     faults.arm(0, {});
     claimant.send({{"step", "ready"}});
-    ASSERT_EQ(claimant.hear()["step"], "go");
+    ASSERT_EQ(claimant.receive()["step"], "go");
     EXPECT_TRUE(Journal(node.state(), kMaxJournalBytes).entries().empty());
 }
 
--- a/tests/fault/incident_test.cpp
+++ b/tests/fault/incident_test.cpp
@@ -14,7 +14,7 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe", left_ms), "+OK");
-    target.next().answer(200);
+    endpoint_stub.next().respond(200);
     EXPECT_EQ(first_notice(), (Json{{"ref", id}, {"result", "dead"}}));
 }
 
@@ -27,7 +27,7 @@
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe", left_ms), "+OK");
     EXPECT_EQ(faults.hits(0), failures);
-    target.next().answer(200);
+    endpoint_stub.next().respond(200);
     EXPECT_EQ(first_notice(), (Json{{"ref", id}, {"result", "dead"}}));
 }
 
--- a/tests/fault/journal_fault_test.cpp
+++ b/tests/fault/journal_fault_test.cpp
@@ -17,15 +17,15 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     faults.arm(0, {fault::Call::Write, ENOSPC, 0, failures});
-    call.answer(200);
+    call.respond(200);
     const auto recorded = [&] { return faults->rules[0].seen > failures; };
     EXPECT_TRUE(FaultNodeTest::wait_until(recorded)) << "no further write";
     node.kill();
     node.wait();
     node.start_ready();
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 // The same, with a process that ends after SIGTERM.
@@ -34,14 +34,14 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     node.terminate();
     faults.arm(0, {fault::Call::Write, ENOSPC, 0, failures});
-    call.answer(200);
+    call.respond(200);
     EXPECT_EQ(node.wait(), 0);
     EXPECT_EQ(faults.hits(0), failures);
     node.start_ready();
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 // Guards against a journal that is set aside although it is readable: the folder could not be written for a
@@ -52,7 +52,7 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    target.next();
+    endpoint_stub.next();
     node.kill();
     node.wait();
     faults.arm(0, {fault::Call::Rename, EIO, 0, kAllCalls});
@@ -64,7 +64,7 @@
     ASSERT_TRUE(wait_until([&] { return faults.hits(2) > 0; }));
     faults.arm(0, {});
     faults.arm(1, {});
-    EXPECT_EQ(target.next().header("X-Call-Id"), id) << node.log();
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), id) << node.log();
 }
 
 }  // namespace
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -8,18 +8,18 @@
 class HandoverTest : public NodeTest {
 protected:
     HandoverTest() : old_management(node.other_address()), new_management(node.other_address()) {
-        node.hold_listener();
+        node.open_inherited_listener();
         node.config()["management"] = text_of(old_management);
         node.config()["settings"]["family_info"]["slots"] = 1;
     }
 
     void start_replacement() {
-        node.start_beside(new_management);
-        ASSERT_TRUE(says_yes(new_management)) << node.log();
+        node.start_successor(new_management);
+        ASSERT_TRUE(wait_until_ready(new_management)) << node.log();
     }
     void stop_predecessor() {
-        ::kill(node.former(), SIGTERM);
-        const int status = node.wait_former();
+        ::kill(node.previous_pid(), SIGTERM);
+        const int status = node.wait_for_previous();
         EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
     }
     static std::string message_id(const Exchange& exchange) { return exchange.header("X-Call-Id"); }
@@ -34,19 +34,19 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange in_flight = target.next();
+    const Exchange in_flight = endpoint_stub.next();
     ASSERT_EQ(enqueue(client, second), "+OK");
     start_replacement();
     EXPECT_EQ(operate(old_management, "GET", "/ready"), 503);
-    EXPECT_TRUE(target.none_within(300ms));
-    in_flight.answer(200);
-    const Exchange next = target.next();
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
+    in_flight.respond(200);
+    const Exchange next = endpoint_stub.next();
     EXPECT_EQ(message_id(next), second);
-    next.answer(200);
+    next.respond(200);
     stop_predecessor();
     Client new_client = node.client();
     ASSERT_EQ(enqueue(new_client, third), "+OK");
-    EXPECT_EQ(message_id(target.next()), third);
+    EXPECT_EQ(message_id(endpoint_stub.next()), third);
 }
 
 // The old process replies to a request that it has begun to read, and the new process decides the reply.
@@ -64,7 +64,7 @@
     partial.send(request.substr(30));
     EXPECT_EQ(partial.line(), "+OK");
     EXPECT_TRUE(partial.ended());
-    EXPECT_EQ(message_id(target.next()), id);
+    EXPECT_EQ(message_id(endpoint_stub.next()), id);
     stop_predecessor();
 }
 
@@ -74,7 +74,7 @@
     node.start_ready();
     Client client = node.client(), partial = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange in_flight = target.next();
+    const Exchange in_flight = endpoint_stub.next();
     ASSERT_EQ(enqueue(client, second, "keyed"), "+OK");
     const std::string request = "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$16\r\n" + third +
                                 "\r\n$28\r\nc=safe,t=acme,d=30000,dest=7\r\n$1\r\nB\r\n";
@@ -87,12 +87,12 @@
     start_replacement();
     partial.send(request.substr(30));
     EXPECT_EQ(partial.line(), "+OK");
-    in_flight.answer(500);  // the class "safe" may be retried
+    in_flight.respond(500);  // the class "safe" may be retried
     std::multiset<std::string> sent_ids;
     for (int i = 0; i < 3; ++i) {
-        const Exchange call = target.next();
+        const Exchange call = endpoint_stub.next();
         sent_ids.insert(message_id(call));
-        call.answer(200);
+        call.respond(200);
     }
     EXPECT_EQ(sent_ids, (std::multiset<std::string>{id, second, third}));
 }
@@ -101,25 +101,25 @@
     HttpStub other;
     node.config()["settings"]["family_info"]["slots"] = 4;
     node.start_ready();
-    tell(agent_request("/v1/servers"),
-        list(5, true, {member("s-1", target.address(), 7), member("s-2", other.address(), 8)}));
-    agent_request("/v1/servers?from=5");
+    send_endpoint_list(next_discovery_request("/v1/servers"),
+        list(5, true, {member("s-1", endpoint_stub.address(), 7), member("s-2", other.address(), 8)}));
+    next_discovery_request("/v1/servers?from=5");
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     const auto refused_at = Clock::now();
-    call.answer(429, "Retry-After: 2.5\r\n");
+    call.respond(429, "Retry-After: 2.5\r\n");
     ASSERT_EQ(operate(old_management, "POST", "/endpoints/disable?who=s-2"), 200);
     ASSERT_EQ(enqueue(client, second, "safe", 30000, "B", 8), "+OK");
     ASSERT_EQ(operate(old_management, "POST", "/drain"), 200);
-    node.start_beside(new_management);
+    node.start_successor(new_management);
     ASSERT_TRUE(node.logs("handover: taken over"));
     EXPECT_EQ(operate(new_management, "GET", "/ready"), 503);
     EXPECT_EQ(node.client().ask({"PING"})[0], '-');
     // both management addresses act on the same forwarder
     EXPECT_EQ(operate(old_management, "POST", "/undrain"), 200);
-    EXPECT_TRUE(says_yes(new_management));
-    EXPECT_EQ(message_id(target.next()), id);
+    EXPECT_TRUE(wait_until_ready(new_management));
+    EXPECT_EQ(message_id(endpoint_stub.next()), id);
     EXPECT_GE(Clock::now() - refused_at, 2500ms);
     EXPECT_TRUE(other.none_within(100ms));
     EXPECT_EQ(operate(new_management, "POST", "/endpoints/enable?who=s-2"), 200);
@@ -130,64 +130,64 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    target.next();
+    endpoint_stub.next();
     ASSERT_EQ(enqueue(client, second, "unsafe"), "+OK");
     start_replacement();
-    ::kill(node.former(), SIGKILL);
-    node.wait_former();
+    ::kill(node.previous_pid(), SIGKILL);
+    node.wait_for_previous();
     std::set<std::string> sent_ids;  // the message that was in flight may be retried; no order is guaranteed
     for (int i = 0; i < 2; ++i) {
-        const Exchange call = target.next();
+        const Exchange call = endpoint_stub.next();
         sent_ids.insert(message_id(call));
-        call.answer(200);
+        call.respond(200);
     }
     EXPECT_EQ(sent_ids, (std::set<std::string>{id, second}));
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 TEST_F(HandoverTest, OldProcessContinuesWhenTheNewOneIsKilled) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
-    const Exchange in_flight = target.next();
+    const Exchange in_flight = endpoint_stub.next();
     ASSERT_EQ(enqueue(client, second), "+OK");
     start_replacement();
     node.kill();
     node.wait();
-    node.back_to_former();
-    ASSERT_TRUE(says_yes(old_management)) << node.log();
+    node.return_to_previous();
+    ASSERT_TRUE(wait_until_ready(old_management)) << node.log();
     Client new_client = node.client();
     ASSERT_EQ(enqueue(new_client, third), "+OK");
-    EXPECT_TRUE(target.none_within(200ms));  // the call in flight still counts against the limit
-    in_flight.answer(200);
+    EXPECT_TRUE(endpoint_stub.none_within(200ms));  // the call in flight still counts against the limit
+    in_flight.respond(200);
     for (const std::string& expected : {second, third}) {
-        const Exchange call = target.next();
+        const Exchange call = endpoint_stub.next();
         EXPECT_EQ(message_id(call), expected);
-        call.answer(200);
+        call.respond(200);
     }
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 TEST_F(HandoverTest, SurvivesAClaimantThatStallsOrDisconnects) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange in_flight = target.next();
+    const Exchange in_flight = endpoint_stub.next();
     const FalseClaim silent(node.state());  // sends nothing at all
     std::this_thread::sleep_for(1200ms);
     std::optional<FalseClaim> claim(node.state());
     claim->send({{"step", "claim"}});
-    EXPECT_EQ(claim->hear()["step"], "offer");
-    in_flight.answer(200);
+    EXPECT_EQ(claim->receive()["step"], "offer");
+    in_flight.respond(200);
     Client waiting_client = node.client();  // waits for the process that owns the folder in the end
     claim.reset();
     EXPECT_EQ(enqueue(waiting_client, second), "+OK");
-    EXPECT_EQ(message_id(target.next()), second);
+    EXPECT_EQ(message_id(endpoint_stub.next()), second);
     FalseClaim stalled(node.state());
     stalled.send({{"step", "claim"}});
-    EXPECT_EQ(stalled.hear()["step"], "offer");
+    EXPECT_EQ(stalled.receive()["step"], "offer");
     EXPECT_EQ(enqueue(client, third), "+OK");  // replied to after the claimant has timed out
-    EXPECT_TRUE(says_yes(old_management));
+    EXPECT_TRUE(wait_until_ready(old_management));
 }
 
 // Only the timer wakes a process that has nothing but a waiting message. Taking back an offer must restore
@@ -198,14 +198,14 @@
     ASSERT_EQ(enqueue(client, id, "safe", 2500, "B", 99), "+OK");  // no endpoint is in service there
     std::optional<FalseClaim> claim(node.state());
     claim->send({{"step", "claim"}});
-    EXPECT_EQ(claim->hear()["step"], "offer");
+    EXPECT_EQ(claim->receive()["step"], "offer");
     claim.reset();
     ASSERT_TRUE(node.logs("taken back"));
     const auto deadline = Clock::now() + 10s;  // repeated discovery requests arrive in between
     std::optional<Exchange> report;
     while (!report || report->request.target() != "/reports") {
         ASSERT_LT(Clock::now(), deadline);
-        report = agent.next();
+        report = discovery_stub.next();
     }
     EXPECT_EQ(notices(*report)[0]["ref"], id);
 }
@@ -216,13 +216,13 @@
     node.start_ready();
     FalseClaim claim(node.state());
     claim.send({{"step", "claim"}});
-    EXPECT_EQ(claim.hear()["step"], "offer");
+    EXPECT_EQ(claim.receive()["step"], "offer");
     node.reload(node.config().dump());
     ASSERT_TRUE(node.logs("configuration read anew"));
     claim.send({{"step", "ready"}});
     const auto receives_reload = [&claim] {
         for (int i = 0; i < 20; ++i)
-            if (claim.hear().contains("reload")) return true;
+            if (claim.receive().contains("reload")) return true;
         return false;
     };
     EXPECT_TRUE(receives_reload());
@@ -234,10 +234,11 @@
 // of the configuration file would therefore not yield a complete list.
 TEST_F(HandoverTest, NewProcessRequestsTheWholeList) {
     node.start_ready();
-    tell(agent_request("/v1/servers?from=1"), list(5, true, {member("s-1", target.address(), 7)}));
-    agent_request("/v1/servers?from=5");
+    send_endpoint_list(next_discovery_request("/v1/servers?from=1"),
+        list(5, true, {member("s-1", endpoint_stub.address(), 7)}));
+    next_discovery_request("/v1/servers?from=5");
     start_replacement();
-    EXPECT_EQ(agent_request("/v1/servers").request.target(), "/v1/servers");
+    EXPECT_EQ(next_discovery_request("/v1/servers").request.target(), "/v1/servers");
 }
 
 TEST_F(HandoverTest, BindsItsOwnListenerWhenNoneIsInherited) {
@@ -245,11 +246,11 @@
     standalone.start_ready();
     Client idle = standalone.client();
     ASSERT_EQ(idle.ask({"PING"}), "+PONG");
-    standalone.start_beside(new_management);
-    ASSERT_TRUE(says_yes(new_management)) << standalone.log();
+    standalone.start_successor(new_management);
+    ASSERT_TRUE(wait_until_ready(new_management)) << standalone.log();
     EXPECT_TRUE(idle.ended());
-    ::kill(standalone.former(), SIGTERM);
-    standalone.wait_former();
+    ::kill(standalone.previous_pid(), SIGTERM);
+    standalone.wait_for_previous();
     EXPECT_EQ(standalone.client().ask({"PING"}), "+PONG");
 }
 
--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -35,15 +35,16 @@
     int call(const std::string& method, const std::string& path) { return operate(management, method, path); }
     int post(const std::string& path) { return call("POST", path); }
     void announce_two_endpoints(int revision, HttpStub& other) {
-        tell(agent_request("/v1/servers"),
-            list(revision, true, {member("s-1", target.address(), 7), member("s-2", other.address(), 7)}));
-        watch = agent_request("/v1/servers?from=" + std::to_string(revision));
+        send_endpoint_list(next_discovery_request("/v1/servers"),
+            list(revision, true,
+                {member("s-1", endpoint_stub.address(), 7), member("s-2", other.address(), 7)}));
+        watch = next_discovery_request("/v1/servers?from=" + std::to_string(revision));
     }
     bool is_delivered_to(HttpStub& expected, const std::string& one) {
         Client client = node.client();
         if (enqueue(client, one) != "+OK") return false;
         const Exchange exchange = expected.next();
-        exchange.answer(200);
+        exchange.respond(200);
         return exchange.header("X-Call-Id") == one;
     }
 
@@ -96,12 +97,13 @@
     for (const char* one : {"00000000000000a1", "00000000000000a2", "00000000000000a3"})
         EXPECT_TRUE(is_delivered_to(other, one));
     // The endpoint is removed and listed again, under another id in the decision module.
-    tell(*watch, list(6, false, {member("s-1", target.address(), 7, "terminated")}));
+    send_endpoint_list(*watch, list(6, false, {member("s-1", endpoint_stub.address(), 7, "terminated")}));
     std::this_thread::sleep_for(1200ms);  // removed endpoints are released once a second
     EXPECT_TRUE(is_delivered_to(other, "00000000000000a4"));
     EXPECT_EQ(post("/endpoints/enable?who=s-99"), 200);  // it was listed before, whatever its state is
-    tell(agent_request("/v1/servers?from=6"), list(7, false, {member("s-1", target.address(), 7)}));
-    agent_request("/v1/servers?from=7");
+    send_endpoint_list(next_discovery_request("/v1/servers?from=6"),
+        list(7, false, {member("s-1", endpoint_stub.address(), 7)}));
+    next_discovery_request("/v1/servers?from=7");
     EXPECT_TRUE(is_delivered_to(other, "00000000000000a5"));
 
     std::this_thread::sleep_for(200ms);  // the response to a5 arrives meanwhile, so no message is held
@@ -110,9 +112,9 @@
     node.start_ready();  // the first list after the restart names s-1 alone
     Client client = node.client();
     ASSERT_EQ(enqueue(client, "00000000000000a6"), "+OK");
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
     EXPECT_EQ(post("/endpoints/enable?who=s-1"), 200);
-    EXPECT_EQ(target.next().header("X-Call-Id"), "00000000000000a6");
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), "00000000000000a6");
 }
 
 TEST_F(ManagementTest, DrainServesExistingConnectionsAndUndrainRevokesIt) {
@@ -130,7 +132,7 @@
     partial.send("NG\r\n");  // the command was begun before the connection was closed, so it gets a reply
     EXPECT_EQ(partial.line()[0], '-');
     EXPECT_TRUE(partial.ended());
-    EXPECT_EQ(target.next().header("X-Call-Id"), id);  // messages that are held are still delivered
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), id);  // messages that are held are still delivered
     EXPECT_EQ(post("/undrain"), 200);
     EXPECT_EQ(call("GET", "/ready"), 200);
     Client later = node.client();
--- a/tests/misbehaving_client_test.cpp
+++ b/tests/misbehaving_client_test.cpp
@@ -14,9 +14,9 @@
     }
     void expect_served(Client& client, const std::string& id) {
         ASSERT_EQ(enqueue(client, id), "+OK");
-        const Exchange call = target.next();
+        const Exchange call = endpoint_stub.next();
         EXPECT_EQ(call.header("X-Call-Id"), id);
-        call.answer(200);
+        call.respond(200);
     }
 };
 
@@ -40,8 +40,9 @@
 // After an invalid value the stream can still be parsed, so the connection stays open.
 TEST_F(MisbehavingClientTest, RepliesToInvalidValuesAndKeepsReading) {
     node.start_ready();
-    tell(agent_request("/v1/servers"), list(2, true, {member("s-1", target.address(), 7)}));
-    const Exchange watch = agent_request("/v1/servers?from=2");
+    send_endpoint_list(
+        next_discovery_request("/v1/servers"), list(2, true, {member("s-1", endpoint_stub.address(), 7)}));
+    const Exchange watch = next_discovery_request("/v1/servers?from=2");
     Client client = node.client();
     EXPECT_EQ(client.ask({"ENQUEUE"}).substr(0, 5), "-ERR ");
     EXPECT_EQ(client.ask({"ENQUEUE", "0", "c=safe,t=acme,d=9,dest=7", "B"}).substr(0, 5), "-ERR ");  // no id
@@ -70,7 +71,7 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 80'000'000), "+OK");
-    EXPECT_LE(std::stoi(target.next().header("X-Budget-Ms")), 9000);
+    EXPECT_LE(std::stoi(endpoint_stub.next().header("X-Budget-Ms")), 9000);
 }
 
 TEST_F(MisbehavingClientTest, ClosesPartialCommandsAndSilentConnections) {
--- a/tests/net_helpers.hpp
+++ b/tests/net_helpers.hpp
@@ -84,13 +84,13 @@
 struct Exchange {
     http::request<http::string_body> request;
     std::function<void(const std::string&)> write;  ///< sends raw bytes of a response
-    std::function<void()> hang_up;
+    std::function<void()> close_connection;
 
     std::string header(const char* name) const {
         const auto value = request[name];
         return {value.data(), value.size()};
     }
-    void answer(int status, const std::string& headers = "") const {
+    void respond(int status, const std::string& headers = "") const {
         write("HTTP/1.1 " + std::to_string(status) + " X\r\nContent-Length: 0\r\n" + headers + "\r\n");
     }
 };
@@ -235,7 +235,7 @@
 }
 
 /// Waits until the process with this management address accepts clients. Returns false after the timeout.
-inline bool says_yes(const Tcp::endpoint& management) {
+inline bool wait_until_ready(const Tcp::endpoint& management) {
     const auto give_up_at = std::chrono::steady_clock::now() + kDeadline;
     while (operate(management, "GET", "/ready") != 200) {
         if (std::chrono::steady_clock::now() > give_up_at) return false;
@@ -268,7 +268,7 @@
     }
 
     /// Opens the listening socket for clients in the test process. Every process started later inherits it.
-    void hold_listener() {
+    void open_inherited_listener() {
         const auto give_up_at = std::chrono::steady_clock::now() + kDeadline;
         while (!listener_) try {
                 listener_.emplace(listener_io_, address_);
@@ -286,18 +286,18 @@
         pid_ = spawn("");
     }
     /// Starts a second process while the first one runs on as the previous process.
-    void start_beside(const Tcp::endpoint& management) {
+    void start_successor(const Tcp::endpoint& management) {
         previous_pid_ = pid_;
         pid_ = spawn(text_of(management));
     }
-    pid_t former() const { return previous_pid_; }
-    int wait_former() {
+    pid_t previous_pid() const { return previous_pid_; }
+    int wait_for_previous() {
         int status = 0;
         waitpid(std::exchange(previous_pid_, 0), &status, 0);
         return status;
     }
     /// Makes the previous process the current one again, after the newer one has ended.
-    void back_to_former() { pid_ = std::exchange(previous_pid_, 0); }
+    void return_to_previous() { pid_ = std::exchange(previous_pid_, 0); }
 
 private:
     pid_t spawn(const std::string& management) const {
--- a/tests/node_fixture.hpp
+++ b/tests/node_fixture.hpp
@@ -23,16 +23,17 @@
 /// names the endpoint.
 class NodeTest : public ::testing::Test {
 protected:
-    NodeTest() : node(make_config("127.0.0.1:1", agent.address())) {
+    NodeTest() : node(make_config("127.0.0.1:1", discovery_stub.address())) {
         node.config()["known"] = list(1, true,
-            {member("s-1", target.address(), 7), member("s-99", target.address(), 99, "terminating")});
+            {member("s-1", endpoint_stub.address(), 7),
+                member("s-99", endpoint_stub.address(), 99, "terminating")});
     }
 
     /// Returns the next request to discovery whose path starts with `path`. Requests arrive on two
     /// connections, and those with another path are skipped.
-    Exchange agent_request(const std::string& path) {
+    Exchange next_discovery_request(const std::string& path) {
         while (true) {
-            Exchange exchange = agent.next();
+            Exchange exchange = discovery_stub.next();
             const auto request_path = exchange.request.target();
             if (std::string(request_path.data(), request_path.size()).starts_with(path)) return exchange;
             if (path == "/reports") watches.push_back(exchange);
@@ -44,7 +45,7 @@
         for (std::string text; std::getline(stream, text);) lines.push_back(Json::parse(text));
         return lines;
     }
-    static void tell(const Exchange& watch, const Json& update) {
+    static void send_endpoint_list(const Exchange& watch, const Json& update) {
         const std::string body = update.dump();
         watch.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     }
@@ -56,7 +57,7 @@
             body});
     }
 
-    HttpStub agent, target;
+    HttpStub discovery_stub, endpoint_stub;
     Node node;
     std::vector<Exchange> watches;  // requests for the list that were skipped; they get no response
     const std::string id = "9b1f03aa5c7e2d41";
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -18,16 +18,16 @@
         EXPECT_GT(std::stoi(call.header("X-Budget-Ms")), 0);
         EXPECT_LE(std::stoi(call.header("X-Budget-Ms")), 30000);
         EXPECT_EQ(call.request.body(), body);
-        call.answer(200, "X-Load-Report: x0=0.4,x1=25\r\n");
+        call.respond(200, "X-Load-Report: x0=0.4,x1=25\r\n");
     };
     const std::string other = "00000000000000aa";
     ASSERT_EQ(enqueue(client, id, "keyed", 30000, body), "+OK");
-    const Exchange first = target.next();
+    const Exchange first = endpoint_stub.next();
     // accepted before the first response: otherwise the idle connection may be released in between
     ASSERT_EQ(enqueue(client, other, "keyed", 30000, body), "+OK");
     expect_unchanged(first, id);
-    expect_unchanged(target.next(), other);
-    EXPECT_EQ(target.connections(), 1);
+    expect_unchanged(endpoint_stub.next(), other);
+    EXPECT_EQ(endpoint_stub.connections(), 1);
 }
 
 TEST_F(NodeTest, RepliesToPipelinedRequestsInOrder) {
@@ -46,10 +46,10 @@
     node.start_ready();
     Client client = node.client();
     EXPECT_EQ(enqueue(client, id), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     EXPECT_EQ(enqueue(client, id), "+OK");
-    call.answer(200);
-    EXPECT_TRUE(target.none_within(300ms));
+    call.respond(200);
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 // A notice that is sent at the message's deadline over a connection that no longer responds must be sent
@@ -58,14 +58,14 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 300, "B", 99), "+OK");  // no endpoint is in service there
-    const Exchange silent = agent_request("/reports");
+    const Exchange silent = next_discovery_request("/reports");
     const auto sent_at = Clock::now();
-    const Exchange again = agent_request("/reports");
+    const Exchange again = next_discovery_request("/reports");
     EXPECT_LT(Clock::now() - sent_at, 1000ms);  // a loaded machine needs time too
     EXPECT_EQ(again.request.body(), silent.request.body());
-    again.answer(204);
+    again.respond(204);
     ASSERT_EQ(enqueue(client, "00000000000000aa", "safe", 300, "B", 99), "+OK");
-    EXPECT_EQ(notices(agent_request("/reports")).size(), 1u);  // the first one is confirmed
+    EXPECT_EQ(notices(next_discovery_request("/reports")).size(), 1u);  // the first one is confirmed
 }
 
 // The list has as many endpoints as the largest stated deployment, one destination for every two endpoints,
@@ -77,7 +77,7 @@
     Json servers(int revision, bool complete, const char* phase = "in_service") {
         std::vector<Json> all;
         for (int i = 0; i < kServers; ++i)
-            all.push_back(member("s-" + std::to_string(i), target.address(), i / 2, phase));
+            all.push_back(member("s-" + std::to_string(i), endpoint_stub.address(), i / 2, phase));
         return list(revision, complete, all);
     }
     static void send_in_pieces(const Exchange& watch, const Json& content) {
@@ -90,9 +90,9 @@
     }
     void expect_delivered(Client& client, const std::string& message, int destination) {
         ASSERT_EQ(enqueue(client, message, "safe", 30000, "B", destination), "+OK");
-        const Exchange call = target.next();
+        const Exchange call = endpoint_stub.next();
         EXPECT_EQ(call.header("X-Call-Id"), message);
-        call.answer(200);
+        call.respond(200);
     }
 };
 TEST_F(LargeList, IsReadCompletelyInEveryForm) {
@@ -102,13 +102,14 @@
     Client client = node.client();
     expect_delivered(client, "00000000000000a1", 0);
     expect_delivered(client, "00000000000000a2", kServers / 2 - 1);
-    send_in_pieces(agent_request("/v1/servers?from=1"), servers(2, true));
-    send_in_pieces(agent_request("/v1/servers?from=2"), servers(3, false, "terminating"));
-    const Exchange watch = agent_request("/v1/servers?from=3");  // shows that the previous list has been read
+    send_in_pieces(next_discovery_request("/v1/servers?from=1"), servers(2, true));
+    send_in_pieces(next_discovery_request("/v1/servers?from=2"), servers(3, false, "terminating"));
+    const Exchange watch =
+        next_discovery_request("/v1/servers?from=3");  // shows that the previous list has been read
     ASSERT_EQ(enqueue(client, "00000000000000a3", "safe", 30000, "B", 0), "+OK");
-    EXPECT_TRUE(target.none_within(500ms));  // all endpoints drain
+    EXPECT_TRUE(endpoint_stub.none_within(500ms));  // all endpoints drain
     send_in_pieces(watch, servers(4, false));
-    EXPECT_EQ(target.next().header("X-Call-Id"), "00000000000000a3");
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), "00000000000000a3");
 }
 
 // Some clients send an id twice. If it were accepted again after its message has ended, an at-most-once
@@ -117,16 +118,16 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
-    target.next().answer(200);
+    endpoint_stub.next().respond(200);
     std::this_thread::sleep_for(200ms);
     EXPECT_EQ(enqueue(client, id, "unsafe"), "+OK");
     const std::string other = "00000000000000aa";
     ASSERT_EQ(enqueue(client, other, "unsafe", 5000), "+OK");
-    target.next().answer(500);  // it may have run, so it has ended
-    agent_request("/reports").answer(204);
+    endpoint_stub.next().respond(500);  // it may have run, so it has ended
+    next_discovery_request("/reports").respond(204);
     std::this_thread::sleep_for(200ms);
     EXPECT_EQ(enqueue(client, other, "unsafe", 5000), "+OK");
-    EXPECT_TRUE(target.none_within(500ms));
+    EXPECT_TRUE(endpoint_stub.none_within(500ms));
 }
 
 // The same holds after one restart and after two: otherwise the effect of an at-most-once message would occur
@@ -136,21 +137,22 @@
     const std::string other = "00000000000000aa";
     Client first = node.client();
     ASSERT_EQ(enqueue(first, id, "unsafe"), "+OK");
-    target.next().answer(200);
+    endpoint_stub.next().respond(200);
     ASSERT_EQ(enqueue(first, other, "unsafe"), "+OK");
-    target.next().answer(500);  // it may have run, so it has ended
-    const Exchange unconfirmed = agent_request("/reports");
+    endpoint_stub.next().respond(500);  // it may have run, so it has ended
+    const Exchange unconfirmed = next_discovery_request("/reports");
     for (int restart = 0; restart < 2; ++restart) {  // the second reads the journal that the first rewrote
         node.kill();
         node.wait();
         node.start_ready();
-        const Exchange report = agent_request("/reports");  // the outcome of the call arrived before it
-        if (restart == 1) report.answer(204);
+        const Exchange report =
+            next_discovery_request("/reports");  // the outcome of the call arrived before it
+        if (restart == 1) report.respond(204);
     }
     std::this_thread::sleep_for(200ms);
     Client client = node.client();
     for (const std::string& again : {id, other}) EXPECT_EQ(enqueue(client, again, "unsafe"), "+OK");
-    EXPECT_TRUE(target.none_within(500ms));
+    EXPECT_TRUE(endpoint_stub.none_within(500ms));
 }
 
 class RetryableResponse : public NodeTest, public ::testing::WithParamInterface<const char*> {};
@@ -158,12 +160,12 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange first = target.next();
-    *GetParam() == '\0' ? first.hang_up() : first.write(GetParam());
-    const Exchange second = target.next();
+    const Exchange first = endpoint_stub.next();
+    *GetParam() == '\0' ? first.close_connection() : first.write(GetParam());
+    const Exchange second = endpoint_stub.next();
     EXPECT_EQ(second.header("X-Call-Id"), id);
-    second.answer(200);
-    EXPECT_TRUE(target.none_within(300ms));
+    second.respond(200);
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 INSTANTIATE_TEST_SUITE_P(Node, RetryableResponse,
     ::testing::Values("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
@@ -179,11 +181,11 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     const auto sent_at = Clock::now();
-    call.answer(429, "Retry-After: 0.7\r\n");
+    call.respond(429, "Retry-After: 0.7\r\n");
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");
-    target.next().answer(200);
+    endpoint_stub.next().respond(200);
     EXPECT_GE(Clock::now() - sent_at, 700ms);
 }
 
@@ -192,10 +194,10 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 1500), "+OK");
-    target.next().answer(410);
-    EXPECT_TRUE(target.none_within(300ms));
+    endpoint_stub.next().respond(410);
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
     ASSERT_EQ(enqueue(client, "00000000000000aa", "safe", 1500, "B", 99), "+OK");
-    const auto ended = notices(agent_request("/reports"));
+    const auto ended = notices(next_discovery_request("/reports"));
     ASSERT_EQ(ended.size(), 1u);
     EXPECT_EQ(ended[0]["ref"], "00000000000000aa");
 }
@@ -205,18 +207,18 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     call.write("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
-    call.hang_up();
-    EXPECT_TRUE(target.none_within(500ms));
+    call.close_connection();
+    EXPECT_TRUE(endpoint_stub.none_within(500ms));
 }
 
 TEST_F(NodeTest, SendsANoticeWhenACallOutlivesItsDeadline) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 700), "+OK");
-    const Exchange call = target.next();
-    const auto ended = notices(agent_request("/reports"));
+    const Exchange call = endpoint_stub.next();
+    const auto ended = notices(next_discovery_request("/reports"));
     ASSERT_EQ(ended.size(), 1u);
     EXPECT_EQ(ended[0], (Json{{"ref", id}, {"result", "dead"}}));
     EXPECT_LE(std::stoi(call.header("X-Budget-Ms")), 700);
@@ -226,9 +228,9 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
-    target.next().hang_up();
-    EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
-    EXPECT_TRUE(target.none_within(300ms));
+    endpoint_stub.next().close_connection();
+    EXPECT_EQ(notices(next_discovery_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 // An endpoint may close an idle connection. A call written to it would end with a reset, and an at-most-once
@@ -238,13 +240,13 @@
     Client client = node.client();
     for (const char* message : {"00000000000000a1", "00000000000000a2", "00000000000000a3"}) {
         ASSERT_EQ(enqueue(client, message, "unsafe"), "+OK");
-        const Exchange call = target.next();
+        const Exchange call = endpoint_stub.next();
         EXPECT_EQ(call.header("X-Call-Id"), message);
-        call.answer(200);
-        call.hang_up();
+        call.respond(200);
+        call.close_connection();
         std::this_thread::sleep_for(100ms);  // the close takes a moment to arrive
     }
-    EXPECT_EQ(target.connections(), 3);
+    EXPECT_EQ(endpoint_stub.connections(), 3);
 }
 
 // A refused client gets a retry-after: otherwise it retries while the forwarder is still full.
@@ -283,26 +285,26 @@
     }
     node.kill();
     EXPECT_TRUE(WIFSIGNALED(node.wait()));
-    node.config()["known"] = list(1, true, {member("s-1", target.address(), 7)});
+    node.config()["known"] = list(1, true, {member("s-1", endpoint_stub.address(), 7)});
     node.start_ready();
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     EXPECT_EQ(call.header("X-Call-Id"), id);
     EXPECT_EQ(call.request.body(), "kept");
     EXPECT_LT(std::stoi(call.header("X-Budget-Ms")), 30000);
-    call.answer(200);
-    EXPECT_TRUE(target.none_within(300ms));
+    call.respond(200);
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 TEST_F(NodeTest, AfterSigkillAnAtMostOnceCallInFlightIsNotRetried) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "unsafe"), "+OK");
-    target.next();
+    endpoint_stub.next();
     node.kill();
     node.wait();
     node.start_ready();
-    EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_EQ(notices(next_discovery_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 /// Messages of a sequential class that all have the same key.
@@ -322,27 +324,27 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue_in_order(client, id), "+OK");
-    const Exchange first = target.next();
+    const Exchange first = endpoint_stub.next();
     ASSERT_EQ(enqueue_in_order(client, other), "+OK");
     ASSERT_EQ(enqueue(client, "00000000000000bb", "keyed"), "+OK");  // its class is not sequential
-    const Exchange unordered = target.next();
+    const Exchange unordered = endpoint_stub.next();
     EXPECT_EQ(unordered.header("X-Call-Id"), "00000000000000bb");
-    first.answer(200);
-    EXPECT_EQ(target.next().header("X-Call-Id"), other);
+    first.respond(200);
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), other);
 }
 TEST_F(SequentialClass, KeepsTheOrderAfterARestart) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue_in_order(client, id), "+OK");
-    target.next();
+    endpoint_stub.next();
     ASSERT_EQ(enqueue_in_order(client, other), "+OK");
     node.kill();
     node.wait();
     node.start_ready();
-    const Exchange again = target.next();
+    const Exchange again = endpoint_stub.next();
     EXPECT_EQ(again.header("X-Call-Id"), id);
-    again.answer(200);
-    EXPECT_EQ(target.next().header("X-Call-Id"), other);
+    again.respond(200);
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), other);
 }
 
 TEST_F(NodeTest, AfterSigkillADeduplicatedCallIsRetriedInsideItsWindow) {
@@ -350,24 +352,24 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "keyed"), "+OK");
-    target.next();
+    endpoint_stub.next();
     node.kill();
     node.wait();
     node.start_ready();
-    EXPECT_EQ(target.next().header("Idempotency-Key"), "5c0f6e1a2b3d4c59");
+    EXPECT_EQ(endpoint_stub.next().header("Idempotency-Key"), "5c0f6e1a2b3d4c59");
 }
 TEST_F(NodeTest, AfterSigkillADeduplicatedCallEndsAfterItsWindow) {
     node.config()["settings"]["classes"][1]["window_ms"] = 300;
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "keyed"), "+OK");
-    target.next();
+    endpoint_stub.next();
     node.kill();
     node.wait();
     std::this_thread::sleep_for(300ms);
     node.start_ready();
-    EXPECT_EQ(notices(agent_request("/reports"))[0]["ref"], id);
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_EQ(notices(next_discovery_request("/reports"))[0]["ref"], id);
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 TEST_F(NodeTest, AfterSigkillADeliveredMessageIsNotSentAgain) {
@@ -375,17 +377,17 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    target.next().answer(200);
+    endpoint_stub.next().respond(200);
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");
-    const Exchange in_flight = target.next();
+    const Exchange in_flight = endpoint_stub.next();
     EXPECT_EQ(
         in_flight.header("X-Call-Id"), "00000000000000aa");  // shows that the first call no longer counts
     node.kill();
     node.wait();
     node.start_ready();
-    const Exchange again = target.next();
+    const Exchange again = endpoint_stub.next();
     EXPECT_EQ(again.header("X-Call-Id"), "00000000000000aa");
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 TEST_F(NodeTest, AfterSigkillAnExpiredMessageGetsItsNoticeAtOnce) {
@@ -398,7 +400,7 @@
     node.wait();
     std::this_thread::sleep_for(1100ms);  // its deadline passes in the meantime
     node.start_ready();
-    EXPECT_EQ(notices(agent_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
+    EXPECT_EQ(notices(next_discovery_request("/reports"))[0], (Json{{"ref", id}, {"result", "dead"}}));
 }
 
 TEST_F(NodeTest, ResendsANoticeUntilItIsConfirmed) {
@@ -407,15 +409,15 @@
         Client client = node.client();
         ASSERT_EQ(enqueue(client, id, "safe", 100, "B", 99), "+OK");
     }
-    agent_request("/reports").answer(500);
-    agent_request("/reports").hang_up();
-    agent_request("/reports");
+    next_discovery_request("/reports").respond(500);
+    next_discovery_request("/reports").close_connection();
+    next_discovery_request("/reports");
     node.kill();
     node.wait();
     node.start_ready();
-    const Exchange last = agent_request("/reports");
+    const Exchange last = next_discovery_request("/reports");
     EXPECT_EQ(notices(last)[0]["ref"], id);
-    last.answer(204);
+    last.respond(204);
     node.terminate();
     EXPECT_EQ(node.wait(), 0);
     EXPECT_TRUE(Journal(node.state(), 1 << 20).entries().empty());
@@ -427,14 +429,14 @@
     Client client = node.client();
     EXPECT_EQ(idle.ask({"PING"}), "+PONG");
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     node.terminate();
     Client new_client = node.client();  // new connections still arrive for a moment
     EXPECT_EQ(enqueue(new_client, "00000000000000aa"), "+OK");
     EXPECT_TRUE(idle.ended());
     EXPECT_TRUE(new_client.ended());
-    call.answer(200);
-    target.next().answer(200);
+    call.respond(200);
+    endpoint_stub.next().respond(200);
     const int status = node.wait();
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
     EXPECT_TRUE(node.refuses());
@@ -459,7 +461,7 @@
         EXPECT_TRUE(closing->ended());
         EXPECT_FALSE(closing->reset());
     }
-    EXPECT_TRUE(target.none_within(300ms));
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 TEST_F(NodeTest, AfterSigtermExitsInTimeAndDeliversTheRestAfterARestart) {
@@ -472,9 +474,9 @@
     const int status = node.wait();
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
     EXPECT_LT(Clock::now() - started_at, 3700ms + kDeadline);
-    node.config()["known"] = list(1, true, {member("s-1", target.address(), 7)});
+    node.config()["known"] = list(1, true, {member("s-1", endpoint_stub.address(), 7)});
     node.start_ready();
-    EXPECT_EQ(target.next().header("X-Call-Id"), id);
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), id);
 }
 
 // ---- discovery ----
@@ -482,19 +484,20 @@
 TEST_F(NodeTest, FollowsChangesOfTheList) {
     HttpStub other;
     node.start_ready();
-    const Exchange first = agent_request("/v1/servers");
+    const Exchange first = next_discovery_request("/v1/servers");
     EXPECT_EQ(std::string(first.request.target()).substr(0, 18), "/v1/servers?from=1");
-    tell(first, list(5, true, {member("s-1", target.address(), 7)}));
-    const Exchange watch = agent_request("/v1/servers");
+    send_endpoint_list(first, list(5, true, {member("s-1", endpoint_stub.address(), 7)}));
+    const Exchange watch = next_discovery_request("/v1/servers");
     EXPECT_EQ(std::string(watch.request.target()).substr(0, 27), "/v1/servers?from=5&hold_ms=");
-    tell(watch, list(6, false,
-                    {member("s-1", target.address(), 7, "terminating"), member("s-2", other.address(), 7),
-                        {{"id", 5}}}));
-    EXPECT_EQ(std::string(agent_request("/v1/servers").request.target()).substr(0, 18), "/v1/servers?from=6");
+    send_endpoint_list(watch, list(6, false,
+                                  {member("s-1", endpoint_stub.address(), 7, "terminating"),
+                                      member("s-2", other.address(), 7), {{"id", 5}}}));
+    EXPECT_EQ(std::string(next_discovery_request("/v1/servers").request.target()).substr(0, 18),
+        "/v1/servers?from=6");
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
     EXPECT_EQ(other.next().header("X-Call-Id"), id);
-    EXPECT_TRUE(target.none_within(200ms));
+    EXPECT_TRUE(endpoint_stub.none_within(200ms));
 }
 
 // An entry that is malformed or of an unknown kind still means that its endpoint must not be used any more:
@@ -503,18 +506,19 @@
 TEST_P(UnusableListEntry, EndsTheUseOfItsEndpoint) {
     HttpStub other;
     node.start_ready();
-    tell(agent_request("/v1/servers"),
-        list(5, true, {member("s-1", target.address(), 7), member("s-2", other.address(), 7)}));
-    tell(agent_request("/v1/servers?from=5"), list(6, false, {Json::parse(GetParam())}));
-    agent_request("/v1/servers?from=6");
+    send_endpoint_list(next_discovery_request("/v1/servers"),
+        list(5, true, {member("s-1", endpoint_stub.address(), 7), member("s-2", other.address(), 7)}));
+    send_endpoint_list(
+        next_discovery_request("/v1/servers?from=5"), list(6, false, {Json::parse(GetParam())}));
+    next_discovery_request("/v1/servers?from=6");
     Client client = node.client();
     for (const std::string message : {"00000000000000a1", "00000000000000a2", "00000000000000a3"}) {
         ASSERT_EQ(enqueue(client, message), "+OK");
         const Exchange call = other.next();
         EXPECT_EQ(call.header("X-Call-Id"), message);
-        call.answer(200);
+        call.respond(200);
     }
-    EXPECT_TRUE(target.none_within(0ms));
+    EXPECT_TRUE(endpoint_stub.none_within(0ms));
 }
 INSTANTIATE_TEST_SUITE_P(Discovery, UnusableListEntry,
     ::testing::Values(R"({"id":"s-1","phase":"terminating"})", R"({"id":"s-1","phase":7,"cell":7})",
@@ -528,9 +532,9 @@
     node.start_ready();
     const auto started_at = Clock::now();
     for (int i = 0; i < 4; ++i) {
-        const Exchange watch = agent_request("/v1/servers");
+        const Exchange watch = next_discovery_request("/v1/servers");
         EXPECT_EQ(std::string(watch.request.target()).substr(0, 18), "/v1/servers?from=1");
-        watch.answer(503);
+        watch.respond(503);
     }
     EXPECT_GE(Clock::now() - started_at, 700ms);  // half of 200, 400 and 800 ms at least
 }
@@ -573,14 +577,14 @@
     HttpStub other;
     node.config()["settings"]["n_instances"] = 350;
     node.start_ready();
-    tell(agent_request("/v1/servers"), list(2, false, {}));
-    const Exchange silent = agent_request("/v1/servers?from=2");
+    send_endpoint_list(next_discovery_request("/v1/servers"), list(2, false, {}));
+    const Exchange silent = next_discovery_request("/v1/servers?from=2");
     const auto started_at = Clock::now();
-    const Exchange second_silent = agent_request("/v1/servers?from=2");
-    tell(agent_request("/v1/servers?from=2"),
+    const Exchange second_silent = next_discovery_request("/v1/servers?from=2");
+    send_endpoint_list(next_discovery_request("/v1/servers?from=2"),
         list(3, false,
-            {member("s-1", target.address(), 7, "terminating"), member("s-2", other.address(), 7)}));
-    agent_request("/v1/servers?from=3");
+            {member("s-1", endpoint_stub.address(), 7, "terminating"), member("s-2", other.address(), 7)}));
+    next_discovery_request("/v1/servers?from=3");
     EXPECT_LT(Clock::now() - started_at, 6000ms);
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
@@ -590,32 +594,33 @@
 TEST_F(NodeTest, CallsDiscoveryInTimeInAHugeFleet) {
     node.config()["settings"]["n_instances"] = 100'000;  // one round by all takes more than an hour
     node.start_ready();
-    agent_request("/v1/servers").answer(503);
-    agent_request("/v1/servers").answer(503);
-    tell(agent_request("/v1/servers"), list(2, false, {}));
-    EXPECT_TRUE(
-        std::string(agent_request("/v1/servers").request.target()).starts_with("/v1/servers?from=2&"));
+    next_discovery_request("/v1/servers").respond(503);
+    next_discovery_request("/v1/servers").respond(503);
+    send_endpoint_list(next_discovery_request("/v1/servers"), list(2, false, {}));
+    EXPECT_TRUE(std::string(next_discovery_request("/v1/servers").request.target())
+                    .starts_with("/v1/servers?from=2&"));
 }
 
 TEST_F(NodeTest, RequestsTheWholeListWhenTheKnownListHasMalformedEntries) {
     node.config()["known"]["members"].push_back({{"id", 5}});
     node.start_ready();
-    EXPECT_EQ(agent_request("/v1/servers").request.target(), "/v1/servers");
+    EXPECT_EQ(next_discovery_request("/v1/servers").request.target(), "/v1/servers");
 }
 
 TEST_F(NodeTest, ReconnectsToSilentOrMalformedDiscovery) {
     node.config()["known"]["complete"] = false;
     node.start_ready();
-    agent_request("/v1/servers");  // gets no response
-    agent_request("/v1/servers").hang_up();
-    agent_request("/v1/servers").write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"re");
-    agent_request("/v1/servers").write("no HTTP at all\r\n\r\n");
-    tell(agent_request("/v1/servers"), Json::array());
-    tell(agent_request("/v1/servers"), list(2, false, {}));
-    EXPECT_EQ(agent_request("/v1/servers").request.target(), "/v1/servers");  // still requests the whole list
+    next_discovery_request("/v1/servers");  // gets no response
+    next_discovery_request("/v1/servers").close_connection();
+    next_discovery_request("/v1/servers").write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"re");
+    next_discovery_request("/v1/servers").write("no HTTP at all\r\n\r\n");
+    send_endpoint_list(next_discovery_request("/v1/servers"), Json::array());
+    send_endpoint_list(next_discovery_request("/v1/servers"), list(2, false, {}));
+    EXPECT_EQ(next_discovery_request("/v1/servers").request.target(),
+        "/v1/servers");  // still requests the whole list
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");  // and continues with the list that it has
-    EXPECT_EQ(target.next().header("X-Call-Id"), id);
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), id);
 }
 
 // ---- malformed input and limits ----
@@ -632,7 +637,7 @@
         peer.send_to(asio::buffer(std::string(size, '\xff')), listener);
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    target.next().answer(200);
+    endpoint_stub.next().respond(200);
     EXPECT_EQ(client.ask({"PING"}), "+PONG");
 }
 
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -19,10 +19,11 @@
 TEST_F(ReloadTest, SwitchesToNewAgentAndResendsNotices) {
     HttpStub new_agent, new_endpoint;
     node.start_ready();
-    tell(agent_request("/v1/servers"), list(5, true, {member("s-1", target.address(), 7)}));
+    send_endpoint_list(
+        next_discovery_request("/v1/servers"), list(5, true, {member("s-1", endpoint_stub.address(), 7)}));
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 100, "B", 99), "+OK");
-    agent_request("/reports");  // never confirmed
+    next_discovery_request("/reports");  // never confirmed
 
     node.reload(with_discovery(new_agent.address()));
     std::optional<Exchange> whole, report;
@@ -32,13 +33,13 @@
     }
     EXPECT_EQ(path_of(*whole), "/v1/servers");
     EXPECT_EQ(notices(*report)[0]["ref"], id);
-    report->answer(204);
+    report->respond(204);
 
     ASSERT_EQ(enqueue(client, "00000000000000aa"), "+OK");  // the last list stays in use until then
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     EXPECT_EQ(call.header("X-Call-Id"), "00000000000000aa");
-    call.answer(200);
-    tell(*whole, list(2, true, {member("s-2", new_endpoint.address(), 7)}));
+    call.respond(200);
+    send_endpoint_list(*whole, list(2, true, {member("s-2", new_endpoint.address(), 7)}));
     EXPECT_TRUE(path_of(new_agent.next()).starts_with("/v1/servers?from=2&"));
     ASSERT_EQ(enqueue(client, "00000000000000bb"), "+OK");
     EXPECT_EQ(new_endpoint.next().header("X-Call-Id"), "00000000000000bb");
@@ -48,16 +49,16 @@
 TEST_F(ReloadTest, IgnoresLateResponsesOfOldAgent) {
     HttpStub new_agent, new_endpoint;
     node.start_ready();
-    const Exchange old_watch = agent_request("/v1/servers");
+    const Exchange old_watch = next_discovery_request("/v1/servers");
     node.reload(with_discovery(new_agent.address()));
     const Exchange whole = new_agent.next();
-    tell(old_watch, list(9, true, {member("s-2", new_endpoint.address(), 7)}));
-    old_watch.hang_up();
-    tell(whole, list(2, true, {member("s-1", target.address(), 7)}));
+    send_endpoint_list(old_watch, list(9, true, {member("s-2", new_endpoint.address(), 7)}));
+    old_watch.close_connection();
+    send_endpoint_list(whole, list(2, true, {member("s-1", endpoint_stub.address(), 7)}));
     EXPECT_TRUE(path_of(new_agent.next()).starts_with("/v1/servers?from=2&"));
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    EXPECT_EQ(target.next().header("X-Call-Id"), id);
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), id);
 }
 
 TEST_F(ReloadTest, KeepsOldConfigurationIfNewOneIsInvalid) {
@@ -105,8 +106,8 @@
     }
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    EXPECT_EQ(target.next().header("X-Call-Id"), id);
-    agent_request("/v1/servers");
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), id);
+    next_discovery_request("/v1/servers");
 }
 
 // An entry that was ignored for its unknown kind or zone arrives again only with the whole list.
@@ -115,15 +116,15 @@
     node.start_ready();
     Json market = member("s-2", new_endpoint.address(), 8);
     market["flavor"] = "market";
-    const Json known = list(5, true, {member("s-1", target.address(), 7), market});
-    tell(agent_request("/v1/servers"), known);
-    const Exchange watch = agent_request("/v1/servers?from=5");
+    const Json known = list(5, true, {member("s-1", endpoint_stub.address(), 7), market});
+    send_endpoint_list(next_discovery_request("/v1/servers"), known);
+    const Exchange watch = next_discovery_request("/v1/servers?from=5");
     node.config()["settings"]["kinds"] = {"shop", "market"};
     node.reload(node.config().dump());
-    const Exchange whole = agent_request("/v1/servers");
+    const Exchange whole = next_discovery_request("/v1/servers");
     EXPECT_EQ(path_of(whole), "/v1/servers");
-    tell(whole, known);
-    agent_request("/v1/servers?from=5");
+    send_endpoint_list(whole, known);
+    next_discovery_request("/v1/servers?from=5");
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id, "safe", 30000, "B", 8), "+OK");
     EXPECT_EQ(new_endpoint.next().header("X-Call-Id"), id);
@@ -136,7 +137,7 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange first = target.next();
+    const Exchange first = endpoint_stub.next();
     auto& classes = node.config()["settings"]["classes"];
     classes[0]["name"] = "strict";
     classes[0]["effect"] = "fragile";
@@ -144,33 +145,34 @@
     ASSERT_TRUE(node.logs("configuration read anew"));
     EXPECT_EQ(enqueue(client, "00000000000000a1").substr(0, 4), "-ERR");  // class "safe" no longer exists
     EXPECT_EQ(enqueue(client, "00000000000000a2", "strict"), "+OK");
-    const Exchange strict = target.next();
+    const Exchange strict = endpoint_stub.next();
     EXPECT_EQ(strict.header("X-Call-Id"), "00000000000000a2");
-    strict.hang_up();
-    first.hang_up();
-    EXPECT_EQ(notices(agent_request("/reports"))[0]["ref"], "00000000000000a2");  // at-most-once: no retry
-    EXPECT_EQ(target.next().header("X-Call-Id"), id);  // retryable: a second attempt
+    strict.close_connection();
+    first.close_connection();
+    EXPECT_EQ(
+        notices(next_discovery_request("/reports"))[0]["ref"], "00000000000000a2");  // at-most-once: no retry
+    EXPECT_EQ(endpoint_stub.next().header("X-Call-Id"), id);  // retryable: a second attempt
 
     node.kill();
     node.wait();
     node.start_ready();
-    const Exchange again = target.next();
+    const Exchange again = endpoint_stub.next();
     EXPECT_EQ(again.header("X-Call-Id"), id);
-    again.answer(200);
+    again.respond(200);
 }
 
 TEST_F(ReloadTest, LowerAttemptLimitAppliesToHeldMessages) {
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    target.next().answer(500);
-    const Exchange second = target.next();
+    endpoint_stub.next().respond(500);
+    const Exchange second = endpoint_stub.next();
     node.config()["settings"]["limits"]["max_attempts"] = 2;
     node.reload(node.config().dump());
     ASSERT_TRUE(node.logs("configuration read anew"));
-    second.answer(500);
-    EXPECT_EQ(notices(agent_request("/reports"))[0]["ref"], id);
-    EXPECT_TRUE(target.none_within(300ms));
+    second.respond(500);
+    EXPECT_EQ(notices(next_discovery_request("/reports"))[0]["ref"], id);
+    EXPECT_TRUE(endpoint_stub.none_within(300ms));
 }
 
 TEST_F(ReloadTest, HandlesManySignalsAlsoDuringDrain) {
@@ -178,14 +180,14 @@
     node.start_ready();
     Client client = node.client();
     ASSERT_EQ(enqueue(client, id), "+OK");
-    const Exchange call = target.next();
+    const Exchange call = endpoint_stub.next();
     for (int i = 0; i < 20; ++i)
-        node.reload(with_discovery(i % 2 == 0 ? new_agent.address() : agent.address()));
+        node.reload(with_discovery(i % 2 == 0 ? new_agent.address() : discovery_stub.address()));
     node.terminate();
     for (int i = 0; i < 20; ++i)
-        node.reload(with_discovery(i % 2 == 0 ? agent.address() : new_agent.address()));
+        node.reload(with_discovery(i % 2 == 0 ? discovery_stub.address() : new_agent.address()));
     new_agent.next();
-    call.answer(200);
+    call.respond(200);
     const int status = node.wait();
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
 }
